--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/__init__.py
@@ -1,23 +1,23 @@
 """Client accounts: who calls, and whether they may."""
 
-from papayabay_daemon._internal.accounts.asking import KeeperLimiter
 from papayabay_daemon._internal.accounts.authentication import (
     Authenticator,
     Identity,
 )
-from papayabay_daemon._internal.accounts.keeping import LimitKeeper
+from papayabay_daemon._internal.accounts.equal_shares import EqualShareLimiter
+from papayabay_daemon._internal.accounts.limit_owner import LimitOwner
 from papayabay_daemon._internal.accounts.limiting import RateLimits
-from papayabay_daemon._internal.accounts.parts import EqualParts
+from papayabay_daemon._internal.accounts.owner_limiter import OwnerLimiter
+from papayabay_daemon._internal.accounts.owner_ring import OwnerRing
 from papayabay_daemon._internal.accounts.report import AccountReport
-from papayabay_daemon._internal.accounts.ring import KeeperRing
 
 __all__ = [
     "AccountReport",
     "Authenticator",
-    "EqualParts",
+    "EqualShareLimiter",
     "Identity",
-    "KeeperLimiter",
-    "KeeperRing",
-    "LimitKeeper",
+    "OwnerLimiter",
+    "OwnerRing",
+    "LimitOwner",
     "RateLimits",
 ]
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/parts.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/equal_shares.py
@@ -5,7 +5,7 @@
 from papayabay_daemon._internal.accounts.buckets import TokenBucket
 
 
-class EqualParts:
+class EqualShareLimiter:
     """A `Limiter` that asks nobody: each daemon has the same part.
 
     It needs no message, and serves an account little whose requests enter by
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/keeping.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limit_owner.py
@@ -14,7 +14,7 @@
 NOT_KEPT = TokenReply(Outcome.NOT_KEPT)
 
 
-class LimitKeeper:
+class LimitOwner:
     """Keeps a bucket for each slot of a limit that falls to this daemon.
 
     Buckets are in memory only. A new one holds no more than has come since
@@ -25,7 +25,7 @@
     ----------
     policy_source : callable
         Returns the `Policy` in force.
-    ring : KeeperRing
+    ring : OwnerRing
     links : Links
     clock : callable
         Seconds.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/asking.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
@@ -85,7 +85,7 @@
         return min((wait for wait in waits if wait > 0.0), default=0.0)
 
 
-class KeeperLimiter:
+class OwnerLimiter:
     """A `Limiter` that asks the keepers of each limit.
 
     Keepers of the own failure domain come first. One that is exhausted is not
@@ -95,8 +95,8 @@
     Parameters
     ----------
     local : Member
-    ring : KeeperRing
-    keeper : LimitKeeper
+    ring : OwnerRing
+    keeper : LimitOwner
         Asked directly where a slot falls to this daemon.
     links : Links
     random : random.Random
@@ -182,7 +182,7 @@
         """Return the slots that may have tokens, with their keepers."""
         moment = self.clock()
         positions = slot_positions(account)
-        places = [self.ring.keeper_at(position) for position in positions]
+        places = [self.ring.owner_at(position) for position in positions]
         found = [
             (slot, place.member)
             for slot, place in enumerate(places)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/ring.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_ring.py
@@ -41,7 +41,7 @@
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-class KeeperRing:
+class OwnerRing:
     """The members in the order of their hashes.
 
     Members that leave give up their places at once, as they grant nothing
@@ -165,7 +165,7 @@
         }
         return {self.hashes[place.member.name]: place for place in places}
 
-    def keeper_at(self, position):
+    def owner_at(self, position):
         """Return the `Place` that a position falls to, or None without any."""
         if not self.positions:
             return None
@@ -174,5 +174,5 @@
 
     def falls_here(self, position):
         """Return whether a position falls to this daemon."""
-        place = self.keeper_at(position)
+        place = self.owner_at(position)
         return place is not None and place.member is self.members.local
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/slots.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/slots.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from papayabay_daemon._internal.accounts.ring import hash_position
+from papayabay_daemon._internal.accounts.owner_ring import hash_position
 
 MAX_SLOTS = 4
 """Keepers that share one limit: without one of them, three quarters of it are
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
@@ -120,7 +120,7 @@
         daemon = self.daemon
         log.notice("leaving: no new work, draining")
         daemon.leaving = True
-        daemon.limit_keeper.is_leaving = True
+        daemon.limit_owner.is_leaving = True
         daemon.admission.leave()
         await daemon.links.announce_leaving()
         await asyncio.gather(self.end_entry(limits), daemon.membership.leave())
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
@@ -50,7 +50,7 @@
 
 def account_counters(daemon):
     """Return what was counted of keys, and of tokens taken and granted."""
-    parts = daemon.authenticator, daemon.token_asking, daemon.limit_keeper
+    parts = daemon.authenticator, daemon.owner_limiter, daemon.limit_owner
     return {name: count for part in parts for name, count in part.counters.items()}
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -4,10 +4,10 @@
 
 from papayabay_daemon._internal.accounts import (
     Authenticator,
-    EqualParts,
-    KeeperLimiter,
-    KeeperRing,
-    LimitKeeper,
+    EqualShareLimiter,
+    LimitOwner,
+    OwnerLimiter,
+    OwnerRing,
     RateLimits,
 )
 from papayabay_daemon._internal.admission import AdmissionInputs, make_admission
@@ -150,18 +150,18 @@
         self.authenticator = Authenticator(
             self.policy, self.keeper.confirmer, self.random
         )
-        self.ring = ring = KeeperRing(self.membership)
-        self.limit_keeper = LimitKeeper(self.policy, ring, self.links)
-        self.token_asking = KeeperLimiter(
-            self.membership.local, ring, self.limit_keeper, self.links, self.random
+        self.ring = ring = OwnerRing(self.membership)
+        self.limit_owner = LimitOwner(self.policy, ring, self.links)
+        self.owner_limiter = OwnerLimiter(
+            self.membership.local, ring, self.limit_owner, self.links, self.random
         )
-        parts = EqualParts(self.membership)
+        parts = EqualShareLimiter(self.membership)
         self.limits = RateLimits(
             self.policy,
-            {"keepers": self.token_asking, "parts": parts},
+            {"keepers": self.owner_limiter, "parts": parts},
             self.random,
         )
-        for kept in (self.limits, self.token_asking, parts):
+        for kept in (self.limits, self.owner_limiter, parts):
             self.keeper.on_change(kept.policy_changed)
         self.links.confirmations = self.keeper.state
         self.table.era.listeners.append(self.keeper.state.store_restored)
--- a/tests/unit/daemon/limits_fleet.py
+++ b/tests/unit/daemon/limits_fleet.py
@@ -15,10 +15,10 @@
 from papayabay_core.policy.document import PolicyDocument
 from papayabay_core.policy.rules import Policy
 from papayabay_daemon._internal.accounts import (
-    EqualParts,
-    KeeperLimiter,
-    KeeperRing,
-    LimitKeeper,
+    EqualShareLimiter,
+    LimitOwner,
+    OwnerLimiter,
+    OwnerRing,
     slots,
 )
 from papayabay_daemon._internal.accounts.buckets import TokenBucket
@@ -113,13 +113,13 @@
         clock = asyncio.get_running_loop().time
         local = fleet.members[name]
         self.view = View(fleet, local)
-        self.ring = KeeperRing(self.view, clock)
+        self.ring = OwnerRing(self.view, clock)
         wire = Wire(fleet, name)
-        keeper = LimitKeeper(lambda: fleet.policy, self.ring, wire, clock)
+        keeper = LimitOwner(lambda: fleet.policy, self.ring, wire, clock)
         rng = random.Random(f"{fleet.seed}-{name}")
         limiters = {
-            "keepers": KeeperLimiter(local, self.ring, keeper, wire, rng, clock),
-            "parts": EqualParts(self.view, clock),
+            "keepers": OwnerLimiter(local, self.ring, keeper, wire, rng, clock),
+            "parts": EqualShareLimiter(self.view, clock),
         }
         self.limiter = limiters[fleet.way]
         self.running = asyncio.ensure_future(self.ring.run())
@@ -331,7 +331,7 @@
     await asyncio.sleep(4.0)
     daemon = next(iter(fleet.daemons.values()))
     first, *_ = slots.slot_positions(fleet.policy.accounts.by_name["a"])
-    fleet.kill([daemon.ring.keeper_at(first).member.name])
+    fleet.kill([daemon.ring.owner_at(first).member.name])
     await sending
 
 
