--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/buckets.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/buckets.py
@@ -58,7 +58,7 @@
         self.tokens -= taken
         return taken
 
-    def give_back(self):
+    def refund(self):
         """Put back a token that was not used."""
         self.tokens = min(self.depth, self.tokens + 1.0)
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/equal_shares.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/equal_shares.py
@@ -25,7 +25,7 @@
         self.started_at = clock()
         self.buckets = {}
 
-    async def take(self, account):
+    async def acquire(self, account):
         """Take a token; see `Limiter`."""
         bucket = self.bucket_of(account)
         moment = self.clock()
@@ -33,9 +33,9 @@
             retry_ms = whole_ms(bucket.retry_s(moment))
             raise CallError(ErrorKind.RATE_LIMITED, retry_after_ms=retry_ms)
 
-    def give_back(self, account):
+    def refund(self, account):
         """Give a token back; see `Limiter`."""
-        self.bucket_of(account).give_back()
+        self.bucket_of(account).refund()
 
     def bucket_of(self, account):
         """Return the bucket of an account's part."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limiting.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limiting.py
@@ -15,7 +15,7 @@
 class Limiter(Protocol):
     """One way of holding all daemons together to a limit."""
 
-    async def take(self, account: Account) -> None:
+    async def acquire(self, account: Account) -> None:
         """Take a token for one request.
 
         Raises
@@ -24,7 +24,7 @@
             RATE_LIMITED or LIMIT_UNKNOWN.
         """
 
-    def give_back(self, account: Account) -> None:
+    def refund(self, account: Account) -> None:
         """Give back the token of a request that has not run."""
 
 
@@ -63,7 +63,7 @@
     random: random.Random
     uses: dict[str, AccountUse] = field(default_factory=dict)
 
-    async def take(self, account, rule):
+    async def acquire(self, account, rule):
         """Take a token for a request of an account, if it has a limit.
 
         Parameters
@@ -79,7 +79,7 @@
         use = self.use_of(account)
         if account.limit is not None:
             try:
-                await self.limiter.take(account)
+                await self.limiter.acquire(account)
             except CallError as error:
                 if error.kind is ErrorKind.RATE_LIMITED:
                     use.limited += 1
@@ -94,10 +94,10 @@
         """The `Limiter` that policy wants."""
         return self.limiters[self.policy_source().decisions.account_limits]
 
-    def give_back(self, account):
+    def refund(self, account):
         """Give back the token of a request that has not run."""
         if account.limit is not None:
-            self.limiter.give_back(account)
+            self.limiter.refund(account)
 
     def ask_back_in_time(self, error, rule):
         """Let a caller come back while its answer may still be in time."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
@@ -115,7 +115,7 @@
         self.avoided = {}
         self.counters = dict.fromkeys(("asked", "unanswered", "in_advance"), 0)
 
-    async def take(self, account):
+    async def acquire(self, account):
         """Take a token; see `Limiter`."""
         lease = self.lease_of(account)
         moment = self.clock()
@@ -126,7 +126,7 @@
         if not await self.ask_keepers(account, lease):
             self.refuse(lease)
 
-    def give_back(self, account):
+    def refund(self, account):
         """Keep a token for the next request of the account that comes soon."""
         self.lease_of(account).keep(1, self.clock())
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -152,10 +152,10 @@
         """
         if account.limit is not None:
             self.parts.router.check(call)
-        await self.parts.limits.take(account, rule)
+        await self.parts.limits.acquire(account, rule)
         answer = await self.run_root(call, rule)
         if answer.effect is Effect.NOT_RUN:
-            self.parts.limits.give_back(account)
+            self.parts.limits.refund(account)
         return answer
 
     async def run_root(self, call, rule):
--- a/tests/unit/daemon/limits_fleet.py
+++ b/tests/unit/daemon/limits_fleet.py
@@ -239,7 +239,7 @@
 
     async def take(self, daemon, account):
         try:
-            await daemon.limiter.take(account)
+            await daemon.limiter.acquire(account)
         except CallError as error:
             assert error.retry_after_ms > 0 or error.kind is ErrorKind.INTERNAL
             return error.kind.name.lower()
--- a/tests/unit/daemon/test_account_limits.py
+++ b/tests/unit/daemon/test_account_limits.py
@@ -133,7 +133,7 @@
 class RefusalTests(unittest.TestCase):
     def refused(self, retry_ms, latency_ms):
         class Exhausted:
-            async def take(self, account):
+            async def acquire(self, account):
                 raise CallError(ErrorKind.RATE_LIMITED, retry_after_ms=retry_ms)
 
         policy = Policy(PolicyDocument(), 1)
@@ -141,7 +141,7 @@
         account = Account("a", None, RateLimit(1.0, 1))
         objective = latency_ms and Objective(good_share=0.9, latency_ms=latency_ms)
         with self.assertRaises(CallError) as raised:
-            asyncio.run(limits.take(account, SimpleNamespace(objective=objective)))
+            asyncio.run(limits.acquire(account, SimpleNamespace(objective=objective)))
         self.assertEqual(limits.uses["a"].limited, 1)
         return raised.exception.retry_after_ms
 
--- a/tests/unit/daemon/test_limited_calls.py
+++ b/tests/unit/daemon/test_limited_calls.py
@@ -16,10 +16,10 @@
     def __init__(self):
         self.taken = 0
 
-    async def take(self, account, rule):
+    async def acquire(self, account, rule):
         self.taken += 1
 
-    def give_back(self, account):
+    def refund(self, account):
         self.taken -= 1
 
 
