--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/asking.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
@@ -17,7 +17,7 @@
 log = logbook.Logger("papayabay.target")
 
 
-class TargetAsking:
+class TargetDiscovery:
     """Announces, at the start, a target that runs already.
 
     A daemon that restarts beside a running target would not know it until
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -47,7 +47,7 @@
 from papayabay_daemon._internal.status.routes import StatusRoutes
 from papayabay_daemon._internal.supervisor import Child, Supervisor
 from papayabay_daemon._internal.target import HttpTargetClient, TargetRegistry
-from papayabay_daemon._internal.target.asking import TargetAsking
+from papayabay_daemon._internal.target.discovery import TargetDiscovery
 from papayabay_daemon.environment import own_environment
 
 
@@ -117,7 +117,9 @@
         )
         self.registry.listeners.append(self.target_changed)
         dialect = self.environment.target_dialect
-        self.asking = TargetAsking(self.settings, self.policy, self.registry, dialect)
+        self.target_discovery = TargetDiscovery(
+            self.settings, self.policy, self.registry, dialect
+        )
         self.keeper.on_change(self.policy_changed)
         self.links.on_leaving(self.membership.mark_leaving)
         self.links.on_doubt(self.router.note_doubt)
@@ -240,7 +242,7 @@
         children = [
             Child("control", self.control.run),
             Child("target lease", self.registry.watch),
-            Child("target asking", self.asking.run),
+            Child("target asking", self.target_discovery.run),
             Child("metrics", self.metrics.run),
             Child("pause watch", self.pause.run),
             Child("quarantine", self.quarantine_propagation.run),
