--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -138,14 +138,14 @@
         message = await self.receive_own(exchange, call)
         status, fields = message.status, message.head.first
         pool.note_idle(self.dialect.idle_seconds(fields))
-        verdict = self.dialect.judge(call, pool.announcement, status, fields)
+        verdict = self.dialect.classify(call, pool.announcement, status, fields)
         if verdict in REFUSALS:
             exchange.discard()
             if verdict is Verdict.REPLACED:
                 self.registry.replaced(pool.announcement)
             pause = self.dialect.retry_after_ms(fields)
             raise CallError(REFUSALS[verdict], retry_after_ms=pause)
-        if verdict is Verdict.DOUBTFUL:
+        if verdict is Verdict.UNVERIFIED:
             raise CallError(ErrorKind.TARGET_LOST, f"a {status} that can't be its own")
         # Decoded before the body, so that a field that can't travel on ends
         # the call at once.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
@@ -30,7 +30,7 @@
     ``REFUSED_BELOW`` promise that the call was not run; ``REJECTED`` comes
     from a target that says it has slots free, so that handing over fewer
     calls would not help, and ``REPLACED`` from another process than the one
-    that is announced. After ``DOUBTFUL`` nobody knows.
+    that is announced. After ``UNVERIFIED`` nobody knows.
     """
 
     ANSWER = "answer"
@@ -38,7 +38,7 @@
     REJECTED = "rejected"
     REPLACED = "replaced"
     REFUSED_BELOW = "refused-below"
-    DOUBTFUL = "doubtful"
+    UNVERIFIED = "doubtful"
 
 
 class TargetDialect(Protocol):
@@ -60,7 +60,7 @@
     def is_stray(self, call: Call, fields: RawFields) -> bool:
         """Return whether an answer is known to belong to another request."""
 
-    def judge(
+    def classify(
         self, call: Call, announcement: Announcement, status: int, fields: RawFields
     ) -> Verdict:
         """Return what the answer to this request is worth."""
@@ -71,7 +71,7 @@
     def idle_seconds(self, fields: RawFields) -> float | None:
         """Return how long the target keeps an idle connection, if it says."""
 
-    def announced(
+    def announcement_from_health(
         self, target: TargetSettings, status: int, fields: RawFields
     ) -> Announcement | None:
         """Return what the answer to a question for health amounts to.
@@ -94,7 +94,7 @@
         """Return False: these targets don't say whom they answer."""
         return False
 
-    def judge(self, call, announcement, status, fields):
+    def classify(self, call, announcement, status, fields):
         """Return whether the target shed the call, or answered it."""
         if status == announcement.shed_status:
             return Verdict.SHED
@@ -110,7 +110,7 @@
         """Return what a Keep-Alive field says."""
         return keep_alive_seconds(fields)
 
-    def announced(self, target, status, fields):
+    def announcement_from_health(self, target, status, fields):
         """Return None: these targets only announce themselves."""
         return None
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
@@ -74,4 +74,6 @@
             return None
         finally:
             requester.close()
-        return self.dialect.announced(self.target, reply.status, reply.fields)
+        return self.dialect.announcement_from_health(
+            self.target, reply.status, reply.fields
+        )
--- a/tests/unit/platform/test_target_dialect.py
+++ b/tests/unit/platform/test_target_dialect.py
@@ -29,19 +29,19 @@
 
 
 class JudgingTest(unittest.TestCase):
-    def judge(self, status, *fields):
+    def classify(self, status, *fields):
         made = call()
         values = Head(fields).first
-        return PlatformTargetDialect().judge(made, announcement(), status, values)
+        return PlatformTargetDialect().classify(made, announcement(), status, values)
 
     def test_verdicts(self):
         not_run = (b"X-Papayabay-Not-Run", b"1")
         coded = (b"Content-Encoding", b"gzip")
         for status, fields, verdict in (
             (200, (OWN, SIGNATURE), Verdict.ANSWER),
-            (200, (OWN,), Verdict.DOUBTFUL),
-            (200, (OWN, SIGNATURE, coded), Verdict.DOUBTFUL),
-            (200, (SIGNATURE,), Verdict.DOUBTFUL),
+            (200, (OWN,), Verdict.UNVERIFIED),
+            (200, (OWN, SIGNATURE, coded), Verdict.UNVERIFIED),
+            (200, (SIGNATURE,), Verdict.UNVERIFIED),
             (500, (OWN, SIGNATURE), Verdict.ANSWER),
             (503, (OWN,), Verdict.ANSWER),
             (503, (not_run,), Verdict.SHED),
@@ -56,21 +56,23 @@
             (421, (), Verdict.REPLACED),
         ):
             with self.subTest(status=status, fields=fields):
-                self.assertIs(self.judge(status, *fields), verdict)
+                self.assertIs(self.classify(status, *fields), verdict)
 
     def test_a_healthy_upstream_is_announced(self):
         target = TargetSettings(service="svc", host="10.0.0.1", port=80)
         instance = (b"X-Papayabay-Upstream-Instance", b"i-7")
         load = (b"X-Papayabay-Upstream-Load", b"3,0,8")
 
-        def announced(target, status, fields):
-            return PlatformTargetDialect().announced(target, status, Head(fields).first)
+        def announcement_from_health(target, status, fields):
+            return PlatformTargetDialect().announcement_from_health(
+                target, status, Head(fields).first
+            )
 
-        found = announced(target, 200, (instance, load))
+        found = announcement_from_health(target, 200, (instance, load))
         self.assertEqual((found.incarnation, found.slots), ("i-7", 8))
-        self.assertIsNone(announced(target, 503, (instance, load)))
-        self.assertIsNone(announced(target, 200, (instance,)))
-        self.assertIsNone(announced(target, 200, (load,)))
+        self.assertIsNone(announcement_from_health(target, 503, (instance, load)))
+        self.assertIsNone(announcement_from_health(target, 200, (instance,)))
+        self.assertIsNone(announcement_from_health(target, 200, (load,)))
 
     def test_head_names_the_instance_and_the_time_left(self):
         made = call()
