--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -142,7 +142,7 @@
         if verdict in REFUSALS:
             exchange.discard()
             if verdict is Verdict.REPLACED:
-                self.registry.replaced(pool.announcement)
+                self.registry.mark_replaced(pool.announcement)
             pause = self.dialect.retry_after_ms(fields)
             raise CallError(REFUSALS[verdict], retry_after_ms=pause)
         if verdict is Verdict.UNVERIFIED:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/registry.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/registry.py
@@ -127,7 +127,7 @@
         if len(self.sequences) > INCARNATIONS_KEPT:
             self.sequences.popitem(last=False)
 
-    def gone(self, incarnation, born_ms=0):
+    def mark_draining(self, incarnation, born_ms=0):
         """Take in that a process takes no new calls, and ends soon.
 
         It goes on with the calls that it has, and makes calls of its own.
@@ -158,7 +158,7 @@
         self.announcement = None
         self.notify()
 
-    def replaced(self, announcement):
+    def mark_replaced(self, announcement):
         """Note that another process answered at the target's address.
 
         Until that one announces itself, each call would go there, named for
--- a/tests/unit/daemon/test_target_registry.py
+++ b/tests/unit/daemon/test_target_registry.py
@@ -83,7 +83,7 @@
         address, and after it has said that it is gone.
         """
         self.registry.announce(announcement(sequence=4, incarnation="a"))
-        self.registry.gone("a")
+        self.registry.mark_draining("a")
         self.assertTrue(self.registry.current.draining)
         self.registry.announce(announcement(sequence=1, incarnation="b"))
         self.registry.announce(announcement(sequence=5, incarnation="a"))
@@ -107,10 +107,10 @@
         self.assertEqual(self.registry.current.announced_at, self.clock.time)
         # Nothing that the former process sent changes anything.
         self.assertFalse(self.registry.announce(announcement(**before, sequence=9)))
-        self.registry.gone("a", 1_000)
+        self.registry.mark_draining("a", 1_000)
         self.assertFalse(self.registry.current.draining)
         self.assertEqual(self.registry.current.born_ms, 2_000)
-        self.registry.gone("a", 2_000)
+        self.registry.mark_draining("a", 2_000)
         self.assertTrue(self.registry.current.draining)
 
     def test_a_former_process_that_was_never_heard_of_is_late(self):
@@ -133,7 +133,7 @@
         The clock of the new one was set back, so that it seems older.
         """
         self.registry.announce(announcement(incarnation="a", born_ms=9, sequence=1))
-        self.registry.replaced(self.registry.current)
+        self.registry.mark_replaced(self.registry.current)
         self.assertIsNone(self.registry.current)
         self.registry.announce(announcement(incarnation="b", born_ms=5, sequence=1))
         self.assertEqual(self.registry.current.incarnation, "b")
