--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/buckets.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/buckets.py
@@ -1,56 +1,58 @@
-"""Token buckets of rate limits."""
+"""The token bucket of a rate limit."""
 
 MAX_RETRY_SECONDS = 5.0
+"""How far ahead the retries of refused requests are spread."""
 
 
 class TokenBucket:
-    """Tokens that come at a rate, up to a depth; empty at first.
+    """A token bucket; empty at first.
 
     Parameters
     ----------
     rate : float
-        Tokens a second.
+        Tokens added per second.
     depth : float
-        Tokens that it holds at most.
-    at : float
-        Time from which on tokens come.
+        Most tokens that the bucket holds.
+    now : float
+        Time from which tokens are added, seconds.
     """
 
-    __slots__ = ("depth", "rate", "refilled_at", "returns_at", "tokens")
+    __slots__ = ("depth", "next_retry_at", "rate", "refilled_at", "tokens")
 
-    def __init__(self, rate, depth, at):
+    def __init__(self, rate, depth, now):
         self.rate = rate
         self.depth = depth
         self.tokens = 0.0
-        self.refilled_at = at
-        self.returns_at = at
+        self.refilled_at = now
+        self.next_retry_at = now
 
-    def change(self, rate, depth, at):
-        """Go on with another rate and depth, if they are others."""
+    def reconfigure(self, rate, depth, now):
+        """Change rate and depth; tokens beyond the new depth are dropped."""
         if (rate, depth) == (self.rate, self.depth):
             return
-        self.refill(at)
+        self.refill(now)
         self.rate = rate
         self.depth = depth
         self.tokens = min(self.tokens, depth)
 
-    def refill(self, at):
-        """Add the tokens that have come since the last time."""
-        passed = max(0.0, at - self.refilled_at)
-        self.refilled_at = max(at, self.refilled_at)
-        self.tokens = min(self.depth, self.tokens + passed * self.rate)
+    def refill(self, now):
+        """Add the tokens that are due since the last refill."""
+        elapsed = max(0.0, now - self.refilled_at)
+        self.refilled_at = max(now, self.refilled_at)
+        self.tokens = min(self.depth, self.tokens + elapsed * self.rate)
 
-    def take(self, at, wanted=1):
-        """Return how many tokens of those wanted were taken.
+    def take(self, now, wanted=1):
+        """Take up to so many tokens; return how many were taken.
 
-        More than one only while more than half of them are left.
+        More than one is taken only while the bucket is more than half full:
+        tokens granted in advance may go unused while others are refused.
 
         Parameters
         ----------
-        at : float
+        now : float
         wanted : int
         """
-        self.refill(at)
+        self.refill(now)
         if self.tokens < 1.0:
             return 0
         spare = int(self.tokens - self.depth / 2)
@@ -59,37 +61,39 @@
         return taken
 
     def refund(self):
-        """Put back a token that was not used."""
+        """Return a token that was not used."""
         self.tokens = min(self.depth, self.tokens + 1.0)
 
-    def reserve(self, at, max_wait):
-        """Take a token that is due soon.
+    def reserve(self, now, max_wait):
+        """Reserve a token that becomes available soon.
 
         Parameters
         ----------
-        at : float
+        now : float
         max_wait : float
             Seconds.
 
         Returns
         -------
         float or None
-            Seconds until it may be used; None when none is due by then.
+            Seconds until the token may be used; None if none becomes
+            available within `max_wait`.
         """
-        self.refill(at)
+        self.refill(now)
         wait = max(0.0, (1.0 - self.tokens) / self.rate)
         if wait > max_wait:
             return None
         self.tokens -= 1.0
         return wait
 
-    def retry_s(self, at):
-        """Return when one who got no token had better come back, seconds.
+    def next_retry_delay(self, now):
+        """Return the seconds after which a refused request should be retried.
 
-        Each is given the time of another token, so that those who were
-        refused together come back at the rate of the limit.
+        Each refused request gets the time of a different token, so that
+        requests that were refused together are retried at the rate of the
+        limit.
         """
-        first = at + (1.0 - self.tokens) / self.rate
-        due = max(first, self.returns_at)
-        self.returns_at = min(due + 1.0 / self.rate, at + MAX_RETRY_SECONDS)
-        return due - at
+        first = now + (1.0 - self.tokens) / self.rate
+        due = max(first, self.next_retry_at)
+        self.next_retry_at = min(due + 1.0 / self.rate, now + MAX_RETRY_SECONDS)
+        return due - now
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/equal_shares.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/equal_shares.py
@@ -30,7 +30,7 @@
         bucket = self.bucket_of(account)
         moment = self.clock()
         if not bucket.take(moment):
-            retry_ms = whole_ms(bucket.retry_s(moment))
+            retry_ms = whole_ms(bucket.next_retry_delay(moment))
             raise CallError(ErrorKind.RATE_LIMITED, retry_after_ms=retry_ms)
 
     def refund(self, account):
@@ -46,7 +46,7 @@
         if bucket is None:
             bucket = TokenBucket(rate, depth, self.started_at)
             self.buckets[account.name] = bucket
-        bucket.change(rate, depth, self.clock())
+        bucket.reconfigure(rate, depth, self.clock())
         return bucket
 
     def policy_changed(self, policy):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limit_owner.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limit_owner.py
@@ -70,7 +70,9 @@
             self.counters["granted"] += 1
             return TokenReply(Outcome.GRANTED, 1, whole_ms(wait))
         self.counters["exhausted"] += 1
-        return TokenReply(Outcome.EXHAUSTED, wait_ms=whole_ms(bucket.retry_s(moment)))
+        return TokenReply(
+            Outcome.EXHAUSTED, wait_ms=whole_ms(bucket.next_retry_delay(moment))
+        )
 
     def may_grant(self, account, slot):
         """Return whether this daemon keeps a slot, and grants by now."""
@@ -104,5 +106,5 @@
             since = max(self.ring.settled_at, self.ring.shrunk_at)
             bucket = TokenBucket(wanted.rate_per_s, wanted.depth, since)
             self.buckets[key] = bucket
-        bucket.change(wanted.rate_per_s, wanted.depth, self.clock())
+        bucket.reconfigure(wanted.rate_per_s, wanted.depth, self.clock())
         return bucket
--- a/tests/unit/daemon/test_account_limits.py
+++ b/tests/unit/daemon/test_account_limits.py
@@ -175,7 +175,7 @@
     def test_refused_ones_come_back_at_the_rate_of_the_limit(self):
         """Guards against callers that all come back at the same moment."""
         bucket = TokenBucket(10.0, 5.0, 0.0)
-        waits = [round(bucket.retry_s(0.0), 3) for _ in range(4)]
+        waits = [round(bucket.next_retry_delay(0.0), 3) for _ in range(4)]
         self.assertEqual(waits, [0.1, 0.2, 0.3, 0.4])
 
     def test_a_clock_that_goes_back_grants_nothing(self):
