--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limit_owner.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limit_owner.py
@@ -54,7 +54,7 @@
 
     def grant(self, request):
         """Return the `TokenReply` to a `TokenRequest`."""
-        self.ring.note_lost(request.lost)
+        self.ring.record_reported_loss(request.lost)
         account = self.policy_source().accounts.by_name.get(request.account)
         if not self.may_grant(account, request.slot):
             self.counters["not_kept"] += 1
@@ -95,7 +95,7 @@
         if account is None or account.limit is None:
             return False
         positions = slot_positions(account)
-        return slot < len(positions) and self.ring.falls_here(positions[slot])
+        return slot < len(positions) and self.ring.is_local(positions[slot])
 
     def bucket_of(self, account, slot):
         """Return a slot's bucket, as the limit in force wants it."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
@@ -140,7 +140,7 @@
             max_wait_ms = MAX_WAIT_MS if number == len(keepers) else 0
             tokens = wanted_tokens(lease)
             request = TokenRequest(
-                account.name, slot, tokens, max_wait_ms, self.ring.lost
+                account.name, slot, tokens, max_wait_ms, self.ring.lost_count
             )
             reply = await self.ask(member, request)
             if self.settle(lease, slot, reply):
@@ -187,7 +187,7 @@
             (slot, place.member)
             for slot, place in enumerate(places)
             if place is not None
-            and not place.is_free
+            and not place.is_reserved
             and lease.exhausted_until.get(slot, 0.0) <= moment
             and self.avoided.get(place.member.name, 0.0) <= moment
         ]
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_ring.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_ring.py
@@ -1,4 +1,4 @@
-"""Which daemons keep the limits of accounts: a consistent hash ring."""
+"""Consistent hash ring that maps the slots of rate limits to their owners."""
 
 import asyncio
 import hashlib
@@ -8,46 +8,49 @@
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.interfaces import Member, MemberState
 
-RENEW_SECONDS = 0.1
-"""Time between two looks at the members."""
-HOLD_SECONDS = 10.0
-"""How long the place of a dead member is kept free. Cut off rather than dead,
-it goes on granting tokens to those on its side."""
+REFRESH_SECONDS = 0.1
+"""Interval at which the ring is compared with the membership."""
+RESERVATION_SECONDS = 10.0
+"""How long the ring entry of a dead member is reserved. A member that is only
+cut off goes on granting tokens on its side of the partition."""
 SETTLE_SECONDS = 0.5
+"""The ring of a new process has settled once it has not grown for so long."""
 MIN_SETTLE_SECONDS = 0.4
+"""Earliest time after the start at which that rule applies."""
 MAX_SETTLE_SECONDS = 3.0
-"""A new process relies on its ring once that has not grown for some time, or
-contains the seeds of the store."""
+"""Time after the start at which the ring has settled in any case."""
 MIN_SEEDS = 3
+"""Number of seeds listed in the store with which it has settled at once."""
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """One member's place on the ring.
+class RingEntry:
+    """One member's entry on the ring.
 
     Attributes
     ----------
     member : Member
-    is_free : bool
-        Whether the member is dead and nobody has taken its place yet.
+    is_reserved : bool
+        Whether the member is dead and its slots have no new owner yet.
     """
 
     member: Member
-    is_free: bool
+    is_reserved: bool
 
 
 def hash_position(text):
-    """Return where a text lies on the ring."""
+    """Return the position of a text on the ring."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 class OwnerRing:
-    """The members in the order of their hashes.
+    """The members, ordered by their hashes; each owns the slots before it.
 
-    Members that leave give up their places at once, as they grant nothing
-    from then on. Those of the dead stay free for a while, so that a member
-    that was only cut off and its successor don't both grant the same tokens.
-    After that, each side of a partition grants the share of it that it sees.
+    The entry of a leaving member is removed at once, as it grants no more
+    tokens. The entry of a dead member stays reserved for a while: it may only
+    be cut off, and then it and its successor would grant the same tokens.
+    After that, each side of a partition grants the share of a limit that
+    corresponds to its share of the members.
 
     Parameters
     ----------
@@ -59,13 +62,14 @@
     Attributes
     ----------
     version : int
-        Raised with each change of the ring.
+        Incremented at each change of the ring.
     shrunk_at : float
-        When a place was last given up.
+        When an entry was last removed.
     settled_at : float or None
-        Since when the ring of this process may be relied on.
-    lost : int
-        Members that were lost, as far as this daemon knows.
+        When the ring of this process settled, that is, became complete
+        enough to grant tokens by.
+    lost_count : int
+        Number of members that this daemon knows to be lost.
     """
 
     def __init__(self, members, clock=now):
@@ -76,103 +80,108 @@
         self.shrunk_at = self.started_at
         self.settled_at = None
         self.live = None
-        self.held = []
+        self.reserved = []
         self.version = 0
-        self.hashes = {}
+        self.position_of = {}
         self.positions = []
-        self.places = {}
-        self.alive = 1
-        self.lost = 0
+        self.entries = {}
+        self.live_count = 1
+        self.lost_count = 0
         self.reported_lost = 0
         self.reported_at = float("-inf")
 
     async def run(self):
-        """Follow the members until cancelled."""
+        """Keep the ring up to date with the membership until cancelled."""
         while True:
             self.refresh()
-            await asyncio.sleep(RENEW_SECONDS)
+            await asyncio.sleep(REFRESH_SECONDS)
 
     def refresh(self):
-        """Make the ring anew when members have changed."""
+        """Rebuild the ring if the members have changed."""
         moment = self.clock()
         live = self.members.live()
-        held = self.members.lost_since(moment - HOLD_SECONDS)
-        if live is not self.live or held != self.held:
-            self.live, self.held = live, held
-            self.make(moment)
-        self.lost = self.members.lost_count()
-        self.note_settled(moment)
-
-    def note_lost(self, count):
-        """Note how many members a peer knows to be lost.
-
-        A process that started after they were lost never met them, and would
-        take the members on its side of a partition for all.
+        reserved = self.members.lost_since(moment - RESERVATION_SECONDS)
+        if live is not self.live or reserved != self.reserved:
+            self.live, self.reserved = live, reserved
+            self.rebuild(moment)
+        self.lost_count = self.members.lost_count()
+        self.update_settled(moment)
+
+    def record_reported_loss(self, count):
+        """Record the number of lost members that a peer reports.
+
+        A process that started after members were lost has never seen them.
+        Without the report, it would take the members on its side of a
+        partition for all members.
         """
         moment = self.clock()
-        if count >= self.reported_lost or self.is_report_old(moment):
+        if count >= self.reported_lost or self.is_report_stale(moment):
             self.reported_lost = count
             self.reported_at = moment
 
-    def is_report_old(self, moment):
-        """Return whether the reported losses are outdated."""
-        return moment - self.reported_at > HOLD_SECONDS
+    def is_report_stale(self, moment):
+        """Return whether the latest report of lost members has expired."""
+        return moment - self.reported_at > RESERVATION_SECONDS
 
     @property
     def share(self):
-        """Part of all members known that are alive or have held places."""
-        lost = self.lost
-        if not self.is_report_old(self.clock()):
+        """Share of all known members that are alive or have a reserved entry.
+
+        Below 1.0 once members are lost for longer than their entries are
+        reserved; each slot then grants only this share of its limit.
+        """
+        lost = self.lost_count
+        if not self.is_report_stale(self.clock()):
             lost = max(lost, self.reported_lost)
-        absent = max(0, lost - len(self.held))
-        return self.alive / (self.alive + absent)
-
-    def make(self, moment):
-        """Make the ring of the members that are alive or held a place for."""
-        before = self.places.keys()
-        self.places = self.make_places(self.live, self.held)
-        self.positions = sorted(self.places)
+        absent = max(0, lost - len(self.reserved))
+        return self.live_count / (self.live_count + absent)
+
+    def rebuild(self, moment):
+        """Rebuild the ring from the live members and the reserved entries."""
+        before = self.entries.keys()
+        self.entries = self.build_entries(self.live, self.reserved)
+        self.positions = sorted(self.entries)
         self.version += 1
-        if self.places.keys() - before:
+        if self.entries.keys() - before:
             self.grown_at = moment
-        if before - self.places.keys():
+        if before - self.entries.keys():
             self.shrunk_at = moment
 
-    def note_settled(self, moment):
-        """Note whether the ring of a new process may be relied on by now."""
+    def update_settled(self, moment):
+        """Set `settled_at` once the ring has settled."""
         if self.settled_at is not None:
             return
-        if self.may_rely_on_ring(moment):
+        if self.has_settled(moment):
             self.settled_at = moment
 
-    def may_rely_on_ring(self, moment):
-        """Return whether the ring holds about all members by now."""
+    def has_settled(self, moment):
+        """Return whether the ring of a new process is about complete."""
         age = moment - self.started_at
         if age >= MAX_SETTLE_SECONDS or self.members.listed_seed_count() >= MIN_SEEDS:
             return True
-        is_still = moment - self.grown_at >= SETTLE_SECONDS
-        return is_still and age >= MIN_SETTLE_SECONDS
-
-    def make_places(self, live, held):
-        """Return the members by position."""
-        alive = [m for m in live if m.state is not MemberState.LEAVING]
-        self.alive = max(1, len(alive))
-        places = [Place(member, False) for member in alive]
-        places += [Place(member, True) for member in held]
-        names = {place.member.name for place in places}
-        self.hashes = {
-            name: self.hashes.get(name) or hash_position(name) for name in names
+        is_stable = moment - self.grown_at >= SETTLE_SECONDS
+        return is_stable and age >= MIN_SETTLE_SECONDS
+
+    def build_entries(self, live, reserved):
+        """Return the `RingEntry` of each member by position."""
+        active = [m for m in live if m.state is not MemberState.LEAVING]
+        self.live_count = max(1, len(active))
+        entries = [RingEntry(member, False) for member in active]
+        entries += [RingEntry(member, True) for member in reserved]
+        names = {entry.member.name for entry in entries}
+        self.position_of = {
+            name: self.position_of.get(name) or hash_position(name) for name in names
         }
-        return {self.hashes[place.member.name]: place for place in places}
+        return {self.position_of[entry.member.name]: entry for entry in entries}
 
     def owner_at(self, position):
-        """Return the `Place` that a position falls to, or None without any."""
+        """Return the entry that owns a position; None on an empty ring."""
         if not self.positions:
             return None
         index = bisect_left(self.positions, position) % len(self.positions)
-        return self.places[self.positions[index]]
+        return self.entries[self.positions[index]]
 
-    def falls_here(self, position):
-        """Return whether a position falls to this daemon."""
-        place = self.owner_at(position)
-        return place is not None and place.member is self.members.local
+    def is_local(self, position):
+        """Return whether this daemon owns a position."""
+        entry = self.owner_at(position)
+        return entry is not None and entry.member is self.members.local
