--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limit_owner.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limit_owner.py
@@ -1,4 +1,4 @@
-"""Grants the tokens of the limits that this daemon keeps."""
+"""Grants tokens of the rate limit slots that this daemon owns."""
 
 from papayabay_core.utils.clock import now, whole_ms
 from papayabay_daemon._internal.accounts.buckets import TokenBucket
@@ -11,15 +11,16 @@
 )
 from papayabay_daemon._internal.accounts.slots import slot_limit, slot_positions
 
-NOT_KEPT = TokenReply(Outcome.NOT_KEPT)
+NOT_OWNER = TokenReply(Outcome.NOT_OWNER)
 
 
 class LimitOwner:
-    """Keeps a bucket for each slot of a limit that falls to this daemon.
+    """Holds a token bucket for each slot that this daemon owns.
 
-    Buckets are in memory only. A new one holds no more than has come since
-    the ring of this process settled and a place on it was last given up, so
-    that a limit is not granted twice over a restart or a succession.
+    Buckets are kept in memory only. A new bucket is filled only from the time
+    at which the ring of this process settled or last lost an entry, whichever
+    is later, so that a restart or a change of owner doesn't grant the same
+    tokens twice.
 
     Parameters
     ----------
@@ -34,6 +35,8 @@
     ----------
     buckets : dict of (str, int) to TokenBucket
         By account and slot.
+    is_leaving : bool
+        Whether this daemon shuts down and grants no more tokens.
     counters : dict of str to int
     """
 
@@ -45,10 +48,10 @@
         self.ring_version = 0
         self.is_leaving = False
         self.counters = dict.fromkeys(("granted", "exhausted", "not_kept"), 0)
-        links.handle_requests(TOPIC, self.answer)
+        links.handle_requests(TOPIC, self.handle_request)
 
-    async def answer(self, payload, peer):
-        """Answer a peer's question for tokens."""
+    async def handle_request(self, payload, peer):
+        """Return the encoded reply to a peer's token request."""
         request = decode_request(payload)
         return encode(self.grant(request))
 
@@ -58,7 +61,7 @@
         account = self.policy_source().accounts.by_name.get(request.account)
         if not self.may_grant(account, request.slot):
             self.counters["not_kept"] += 1
-            return NOT_KEPT
+            return NOT_OWNER
         bucket = self.bucket_of(account, request.slot)
         moment = self.clock()
         taken = bucket.take(moment, request.wanted)
@@ -70,41 +73,40 @@
             self.counters["granted"] += 1
             return TokenReply(Outcome.GRANTED, 1, whole_ms(wait))
         self.counters["exhausted"] += 1
-        return TokenReply(
-            Outcome.EXHAUSTED, wait_ms=whole_ms(bucket.next_retry_delay(moment))
-        )
+        retry_delay = bucket.next_retry_delay(moment)
+        return TokenReply(Outcome.EXHAUSTED, wait_ms=whole_ms(retry_delay))
 
     def may_grant(self, account, slot):
-        """Return whether this daemon keeps a slot, and grants by now."""
-        self.drop_lost()
+        """Return whether this daemon owns a slot and its ring has settled."""
+        self.evict_buckets()
         is_active = self.ring.settled_at is not None and not self.is_leaving
-        return is_active and self.is_own(account, slot)
+        return is_active and self.owns(account, slot)
 
-    def drop_lost(self):
-        """Forget buckets of slots that fall to other daemons by now."""
+    def evict_buckets(self):
+        """Drop the buckets of slots that other daemons own after a change."""
         if self.ring_version == self.ring.version:
             return
         self.ring_version = self.ring.version
         accounts = self.policy_source().accounts.by_name
         for name, slot in list(self.buckets):
-            if not self.is_own(accounts.get(name), slot):
+            if not self.owns(accounts.get(name), slot):
                 del self.buckets[name, slot]
 
-    def is_own(self, account, slot):
-        """Return whether a slot exists and falls to this daemon."""
+    def owns(self, account, slot):
+        """Return whether a slot exists and this daemon owns it."""
         if account is None or account.limit is None:
             return False
         positions = slot_positions(account)
         return slot < len(positions) and self.ring.is_local(positions[slot])
 
     def bucket_of(self, account, slot):
-        """Return a slot's bucket, as the limit in force wants it."""
-        wanted = slot_limit(account.limit, self.ring.share)
+        """Return a slot's bucket, with rate and depth of the current limit."""
+        limit = slot_limit(account.limit, self.ring.share)
         key = account.name, slot
         bucket = self.buckets.get(key)
         if bucket is None:
             since = max(self.ring.settled_at, self.ring.shrunk_at)
-            bucket = TokenBucket(wanted.rate_per_s, wanted.depth, since)
+            bucket = TokenBucket(limit.rate_per_s, limit.depth, since)
             self.buckets[key] = bucket
-        bucket.reconfigure(wanted.rate_per_s, wanted.depth, self.clock())
+        bucket.reconfigure(limit.rate_per_s, limit.depth, self.clock())
         return bucket
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/messages.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/messages.py
@@ -1,4 +1,4 @@
-"""What an entry and the keeper of a limit say to each other."""
+"""Messages by which daemons request tokens from the owner of a limit."""
 
 from enum import IntEnum
 from typing import Annotated
@@ -14,29 +14,30 @@
 
 
 class Outcome(IntEnum):
-    """How a keeper answers.
+    """Result of a token request.
 
-    ``NOT_KEPT`` says nothing of the limit: the slot does not fall to the
-    daemon asked, or it has just started and relies on nothing yet.
+    ``NOT_OWNER`` says nothing about the limit: the daemon does not own the
+    slot, has no settled ring yet after its start, or is leaving.
     """
 
     GRANTED = 0
     EXHAUSTED = 1
-    NOT_KEPT = 2
+    NOT_OWNER = 2
 
 
 class TokenRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A question for tokens of one slot of an account's limit.
+    """A request for tokens of one slot of an account's limit.
 
     Attributes
     ----------
     account : str
     slot : int
     wanted : int
+        Number of tokens.
     max_wait_ms : int
-        How long the first of them may be waited for.
+        Longest acceptable wait for the first of them.
     lost : int
-        Members that the asking daemon knows to be lost.
+        Number of members that the sender knows to be lost.
     """
 
     account: str
@@ -47,15 +48,16 @@
 
 
 class TokenReply(msgspec.Struct, array_like=True, frozen=True):
-    """A keeper's answer.
+    """An owner's reply to a `TokenRequest`.
 
     Attributes
     ----------
     outcome : Outcome
     granted : int
-        Tokens, spent as far as the keeper is concerned.
+        Number of tokens; the owner counts them as spent.
     wait_ms : int
-        When they may be used; for an exhausted slot, when to come back.
+        Time until the tokens may be used; for an exhausted slot, until the
+        request should be retried.
     """
 
     outcome: Outcome
@@ -79,7 +81,7 @@
 
 
 def decode(decoder, payload):
-    """Return the message of a payload; raises `ProtocolError`."""
+    """Return the decoded message; raises `ProtocolError`."""
     try:
         return decoder.decode(payload)
     except msgspec.MsgspecError as error:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
@@ -150,7 +150,7 @@
 
     def settle(self, lease, slot, reply):
         """Process a keeper's reply; return whether it granted a token."""
-        if reply is None or reply.outcome is Outcome.NOT_KEPT:
+        if reply is None or reply.outcome is Outcome.NOT_OWNER:
             return False
         moment = self.clock()
         if reply.outcome is Outcome.EXHAUSTED:
