--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
@@ -1,4 +1,4 @@
-"""Takes tokens from the keepers of a limit."""
+"""Requests tokens from the daemons that own the slots of a rate limit."""
 
 import asyncio
 import math
@@ -16,215 +16,228 @@
 )
 from papayabay_daemon._internal.accounts.slots import slot_positions
 
-ASK_SECONDS = 0.15
-"""How long one keeper has to answer: many round trips between domains."""
-AVOID_SECONDS = 0.5
-"""How long a keeper that did not answer is not asked again."""
+REQUEST_TIMEOUT_SECONDS = 0.15
+"""Time-out of a token request; many round trips between failure domains."""
+UNRESPONSIVE_SECONDS = 0.5
+"""How long no requests are sent to an owner that did not answer."""
 LEASE_SECONDS = 0.25
-"""How long tokens may be kept here, and for how much of the recent load they
-are asked for in advance."""
-RATE_SECONDS = 1.0
-"""Time over which that load is averaged."""
+"""TTL of tokens that were granted in advance; also the period of recent
+demand for which they are requested."""
+RATE_AVERAGING_SECONDS = 1.0
+"""Time constant of the moving average of the demand."""
 MAX_WAIT_MS = 100
-"""How long a request waits for a token that is due, rather than come back."""
-MAX_HOLD_SECONDS = 1.0
-"""How long a keeper without tokens is not asked again at most."""
+"""Longest time that a request waits here for a reserved token; beyond that it
+is refused with a Retry-After."""
+MAX_EXHAUSTED_SECONDS = 1.0
+"""Longest time that no requests are sent to an owner without tokens."""
 MIN_RETRY_MS = 50
+"""Shortest Retry-After of a request over the limit, before jitter."""
 UNKNOWN_RETRY_MS = 300
+"""Retry-After, before jitter, while no owner of the limit can be asked."""
 
 
 @dataclass(slots=True)
 class Lease:
-    """What is known here of one account's limit.
+    """Tokens and state of one account's limit at this daemon.
 
     Attributes
     ----------
     tokens : int
-        Granted in advance.
+        Tokens granted in advance.
     expires_at : float
-        When those are lost.
-    asked_at : float
-        When a token was last requested.
-    rate : float
-        Recent demand here, tokens per second.
+        When those tokens expire.
+    last_demand_at : float
+        When a token was last needed here.
+    demand_rate : float
+        Moving average of the demand here, tokens per second.
     exhausted_until : dict of int to float
-        By slot, when its keeper is asked again.
+        By slot, the time until which its owner is not asked again.
     retry_ms : int
-        Retry-After of the last keeper without tokens.
+        Retry-After in the latest reply of an owner without tokens.
     """
 
     tokens: int = 0
     expires_at: float = 0.0
-    asked_at: float = float("-inf")
-    rate: float = 0.0
+    last_demand_at: float = float("-inf")
+    demand_rate: float = 0.0
     exhausted_until: dict[int, float] = field(default_factory=dict)
     retry_ms: int = 0
 
-    def note_wanted(self, moment):
-        """Note that a token is wanted."""
-        weight = math.exp((self.asked_at - moment) / RATE_SECONDS)
-        self.rate = self.rate * weight + 1.0 / RATE_SECONDS
-        self.asked_at = moment
+    def record_demand(self, moment):
+        """Count a request that needs a token in the demand rate."""
+        weight = math.exp((self.last_demand_at - moment) / RATE_AVERAGING_SECONDS)
+        self.demand_rate = self.demand_rate * weight + 1.0 / RATE_AVERAGING_SECONDS
+        self.last_demand_at = moment
 
     def take(self, moment):
-        """Return whether a token that was granted before could be taken."""
+        """Take a token granted in advance; return whether there was one."""
         if not self.tokens or moment > self.expires_at:
             return False
         self.tokens -= 1
         return True
 
-    def keep(self, tokens, moment):
-        """Keep tokens that were granted in advance."""
-        kept = self.tokens if moment <= self.expires_at else 0
-        self.tokens = kept + tokens
+    def add(self, tokens, moment):
+        """Add tokens granted in advance, and renew the TTL of all."""
+        unexpired = self.tokens if moment <= self.expires_at else 0
+        self.tokens = unexpired + tokens
         self.expires_at = moment + LEASE_SECONDS
 
-    def shortest_wait(self, moment):
-        """Return the seconds until some keeper is asked again, 0 for none."""
+    def exhausted_seconds(self, moment):
+        """Return the shortest wait for an exhausted slot; 0 without one."""
         waits = [until - moment for until in self.exhausted_until.values()]
         return min((wait for wait in waits if wait > 0.0), default=0.0)
 
 
 class OwnerLimiter:
-    """A `Limiter` that asks the keepers of each limit.
+    """A `Limiter` that requests tokens from the owners of a limit's slots.
 
-    Keepers of the own failure domain come first. One that is exhausted is not
-    asked again before it has a token, so that an account far beyond its limit
-    costs nobody else much.
+    Owners in the local failure domain are tried first. An owner that is
+    exhausted is not asked again before it has a token, so that an account far
+    over its limit causes little load on other daemons.
 
     Parameters
     ----------
     local : Member
     ring : OwnerRing
-    keeper : LimitOwner
-        Asked directly where a slot falls to this daemon.
+    owner : LimitOwner
+        Called directly for the slots that this daemon owns.
     links : Links
     random : random.Random
     clock : callable
         Seconds.
     """
 
-    def __init__(self, local, ring, keeper, links, random, clock=now):
+    def __init__(self, local, ring, owner, links, random, clock=now):
         self.local = local
         self.ring = ring
-        self.keeper = keeper
+        self.owner = owner
         self.links = links
         self.random = random
         self.clock = clock
         self.leases = {}
-        self.avoided = {}
+        self.unresponsive_until = {}
         self.counters = dict.fromkeys(("asked", "unanswered", "in_advance"), 0)
 
     async def acquire(self, account):
-        """Take a token; see `Limiter`."""
+        """Take a token for one request; see `Limiter`."""
         lease = self.lease_of(account)
         moment = self.clock()
-        lease.note_wanted(moment)
+        lease.record_demand(moment)
         if lease.take(moment):
             self.counters["in_advance"] += 1
             return
-        if not await self.ask_keepers(account, lease):
+        if not await self.request_token(account, lease):
             self.refuse(lease)
 
     def refund(self, account):
-        """Keep a token for the next request of the account that comes soon."""
-        self.lease_of(account).keep(1, self.clock())
+        """Return a token to the lease, for the account's next request."""
+        self.lease_of(account).add(1, self.clock())
 
-    async def ask_keepers(self, account, lease):
-        """Return whether one of the keepers granted a token, once it is due.
+    async def request_token(self, account, lease):
+        """Try the owners in turn; return whether one granted a token.
 
-        Only the last of them is asked for a token that is not there yet.
+        Returns once the token may be used. Only the last owner is asked to
+        reserve a token that is not available yet.
         """
-        keepers = self.keepers_to_ask(account, lease)
-        for number, (slot, member) in enumerate(keepers, 1):
-            max_wait_ms = MAX_WAIT_MS if number == len(keepers) else 0
-            tokens = wanted_tokens(lease)
+        candidates = self.candidate_owners(account, lease)
+        for number, (slot, member) in enumerate(candidates, 1):
+            max_wait_ms = MAX_WAIT_MS if number == len(candidates) else 0
+            tokens = tokens_to_request(lease)
             request = TokenRequest(
                 account.name, slot, tokens, max_wait_ms, self.ring.lost_count
             )
-            reply = await self.ask(member, request)
-            if self.settle(lease, slot, reply):
+            reply = await self.send(member, request)
+            if self.process_reply(lease, slot, reply):
                 await asyncio.sleep(reply.wait_ms / 1_000)
                 return True
         return False
 
-    def settle(self, lease, slot, reply):
-        """Process a keeper's reply; return whether it granted a token."""
+    def process_reply(self, lease, slot, reply):
+        """Update a lease from a reply; return whether a token was granted."""
         if reply is None or reply.outcome is Outcome.NOT_OWNER:
             return False
         moment = self.clock()
         if reply.outcome is Outcome.EXHAUSTED:
-            hold = min(reply.wait_ms / 1_000, MAX_HOLD_SECONDS)
-            lease.exhausted_until[slot] = moment + hold
+            pause = min(reply.wait_ms / 1_000, MAX_EXHAUSTED_SECONDS)
+            lease.exhausted_until[slot] = moment + pause
             lease.retry_ms = reply.wait_ms
             return False
         lease.exhausted_until.pop(slot, None)
-        lease.keep(reply.granted - 1, moment)
+        lease.add(reply.granted - 1, moment)
         return True
 
     def refuse(self, lease):
         """Refuse a request that got no token; raises `CallError`."""
-        spread = self.random.uniform(0.5, 1.5)
-        if not lease.shortest_wait(self.clock()):
-            retry_ms = int(UNKNOWN_RETRY_MS * spread)
+        jitter = self.random.uniform(0.5, 1.5)
+        if not lease.exhausted_seconds(self.clock()):
+            retry_ms = int(UNKNOWN_RETRY_MS * jitter)
             raise CallError(ErrorKind.LIMIT_UNKNOWN, retry_after_ms=retry_ms)
-        retry_ms = int(max(MIN_RETRY_MS, lease.retry_ms) * spread)
+        retry_ms = int(max(MIN_RETRY_MS, lease.retry_ms) * jitter)
         raise CallError(ErrorKind.RATE_LIMITED, retry_after_ms=retry_ms)
 
     def lease_of(self, account):
-        """Return what is known of an account's limit."""
+        """Return the account's `Lease`; creates it if needed."""
         lease = self.leases.get(account.name)
         if lease is None:
             lease = self.leases[account.name] = Lease()
         return lease
 
-    def keepers_to_ask(self, account, lease):
-        """Return the slots that may have tokens, with their keepers."""
+    def candidate_owners(self, account, lease):
+        """Return pairs of slot and owner to try, in order.
+
+        Left out are slots that are exhausted or reserved for a dead member,
+        and owners that did not answer recently.
+        """
         moment = self.clock()
         positions = slot_positions(account)
-        places = [self.ring.owner_at(position) for position in positions]
-        found = [
-            (slot, place.member)
-            for slot, place in enumerate(places)
-            if place is not None
-            and not place.is_reserved
+        entries = [self.ring.owner_at(position) for position in positions]
+        candidates = [
+            (slot, entry.member)
+            for slot, entry in enumerate(entries)
+            if entry is not None
+            and not entry.is_reserved
             and lease.exhausted_until.get(slot, 0.0) <= moment
-            and self.avoided.get(place.member.name, 0.0) <= moment
+            and self.unresponsive_until.get(entry.member.name, 0.0) <= moment
         ]
-        self.random.shuffle(found)
+        self.random.shuffle(candidates)
         domain = self.local.failure_domain
-        found.sort(key=lambda item: item[1].failure_domain != domain)
-        return found
+        candidates.sort(key=lambda item: item[1].failure_domain != domain)
+        return candidates
 
-    async def ask(self, member, request):
-        """Return a keeper's `TokenReply`, or None when it did not answer."""
+    async def send(self, member, request):
+        """Return an owner's `TokenReply`, or None if it did not answer."""
         if member is self.local:
-            return self.keeper.grant(request)
+            return self.owner.grant(request)
         self.counters["asked"] += 1
         payload = encode(request)
+        timeout = REQUEST_TIMEOUT_SECONDS
         try:
-            async with asyncio.timeout(ASK_SECONDS):
-                answer = await self.links.request(member, TOPIC, payload, ASK_SECONDS)
+            async with asyncio.timeout(timeout):
+                answer = await self.links.request(member, TOPIC, payload, timeout)
             return decode_reply(answer)
         except (ProtocolError, OSError, TimeoutError):
             self.counters["unanswered"] += 1
-            self.avoid(member)
+            self.mark_unresponsive(member)
             return None
 
-    def avoid(self, member):
-        """Don't ask a member for a while."""
+    def mark_unresponsive(self, member):
+        """Send no requests to a member for `UNRESPONSIVE_SECONDS`."""
         moment = self.clock()
-        self.avoided = {
-            name: until for name, until in self.avoided.items() if until > moment
+        self.unresponsive_until = {
+            name: until
+            for name, until in self.unresponsive_until.items()
+            if until > moment
         }
-        self.avoided[member.name] = moment + AVOID_SECONDS
+        self.unresponsive_until[member.name] = moment + UNRESPONSIVE_SECONDS
 
     def policy_changed(self, policy):
-        """Forget accounts that policy no longer names."""
+        """Drop the leases of accounts that are no longer in the policy."""
         known = policy.accounts.by_name
-        self.leases = {name: use for name, use in self.leases.items() if name in known}
+        self.leases = {
+            name: lease for name, lease in self.leases.items() if name in known
+        }
 
 
-def wanted_tokens(lease):
-    """Return for how many requests to ask: this one, and soon to come."""
-    return 1 + int(lease.rate * LEASE_SECONDS)
+def tokens_to_request(lease):
+    """Return how many tokens to request: one, and the demand expected soon."""
+    return 1 + int(lease.demand_rate * LEASE_SECONDS)
