--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/__init__.py
@@ -6,9 +6,9 @@
 )
 from papayabay_daemon._internal.accounts.equal_shares import EqualShareLimiter
 from papayabay_daemon._internal.accounts.limit_owner import LimitOwner
-from papayabay_daemon._internal.accounts.limiting import RateLimits
 from papayabay_daemon._internal.accounts.owner_limiter import OwnerLimiter
 from papayabay_daemon._internal.accounts.owner_ring import OwnerRing
+from papayabay_daemon._internal.accounts.rate_limits import RateLimits
 from papayabay_daemon._internal.accounts.report import AccountReport
 
 __all__ = [
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/equal_shares.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/equal_shares.py
@@ -1,4 +1,4 @@
-"""Divides each limit into equal parts, one for each daemon."""
+"""Divides each rate limit into equal shares, one per daemon."""
 
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.utils.clock import now, whole_ms
@@ -6,10 +6,10 @@
 
 
 class EqualShareLimiter:
-    """A `Limiter` that asks nobody: each daemon has the same part.
+    """A `Limiter` by which each daemon grants an equal share on its own.
 
-    It needs no message, and serves an account little whose requests enter by
-    few daemons, or come seldom to each.
+    It sends no messages. An account gets much less than its limit if its
+    requests enter through few daemons, or seldom through each.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
         self.buckets = {}
 
     async def acquire(self, account):
-        """Take a token; see `Limiter`."""
+        """Take a token for one request; see `Limiter`."""
         bucket = self.bucket_of(account)
         moment = self.clock()
         if not bucket.take(moment):
@@ -34,11 +34,11 @@
             raise CallError(ErrorKind.RATE_LIMITED, retry_after_ms=retry_ms)
 
     def refund(self, account):
-        """Give a token back; see `Limiter`."""
+        """Return an unused token; see `Limiter`."""
         self.bucket_of(account).refund()
 
     def bucket_of(self, account):
-        """Return the bucket of an account's part."""
+        """Return the bucket of this daemon's share of an account's limit."""
         count = len(self.members.live()) + self.members.lost_count()
         rate = account.limit.rate_per_s / count
         depth = max(1.0, account.limit.burst / count)
@@ -50,6 +50,8 @@
         return bucket
 
     def policy_changed(self, policy):
-        """Forget accounts that policy no longer names."""
+        """Drop the buckets of accounts that are no longer in the policy."""
         known = policy.accounts.by_name
-        self.buckets = {key: kept for key, kept in self.buckets.items() if key in known}
+        self.buckets = {
+            name: bucket for name, bucket in self.buckets.items() if name in known
+        }
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limiting.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/rate_limits.py
@@ -1,4 +1,4 @@
-"""Holds requests that enter here to the rate limits of their accounts."""
+"""Enforces the rate limits of accounts on requests that enter here."""
 
 import random
 from dataclasses import dataclass, field
@@ -7,13 +7,13 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.policy.accounts import Account
 
-RETURN_SHARE = 0.5
-"""Part of the latency objective after which a caller is asked back at the
-latest: an answer to its repeat may then still be in time."""
+MAX_RETRY_SHARE = 0.5
+"""Longest Retry-After, as a share of the latency objective, so that the answer
+to the retry may still be within the objective."""
 
 
 class Limiter(Protocol):
-    """One way of holding all daemons together to a limit."""
+    """A strategy for enforcing one limit across all daemons."""
 
     async def acquire(self, account: Account) -> None:
         """Take a token for one request.
@@ -25,18 +25,21 @@
         """
 
     def refund(self, account: Account) -> None:
-        """Give back the token of a request that has not run."""
+        """Return the token of a request that was not run."""
 
 
 @dataclass(slots=True)
 class AccountUse:
-    """Requests of one account that entered here.
+    """Counts of the requests of one account that entered here.
 
     Attributes
     ----------
-    allowed, limited, unknown : int
-        Let through, beyond the limit, and those whose limit could not be
-        checked.
+    allowed : int
+        Requests admitted.
+    limited : int
+        Requests refused for being over the limit.
+    unknown : int
+        Requests refused because the limit could not be checked.
     """
 
     allowed: int = 0
@@ -46,7 +49,7 @@
 
 @dataclass(slots=True)
 class RateLimits:
-    """Takes tokens in the way that policy wants, and counts by account.
+    """Takes tokens by the strategy in the policy, and counts by account.
 
     Attributes
     ----------
@@ -54,8 +57,9 @@
         Returns the `Policy` in force.
     limiters : dict of str to Limiter
         By the value of ``decisions.account_limits``.
+    random : random.Random
     uses : dict of str to AccountUse
-        Of accounts in force that have made requests here.
+        For accounts in the policy that have sent requests here.
     """
 
     policy_source: object
@@ -83,7 +87,7 @@
             except CallError as error:
                 if error.kind is ErrorKind.RATE_LIMITED:
                     use.limited += 1
-                    self.ask_back_in_time(error, rule)
+                    self.cap_retry_after(error, rule)
                 else:
                     use.unknown += 1
                 raise
@@ -91,30 +95,33 @@
 
     @property
     def limiter(self):
-        """The `Limiter` that policy wants."""
+        """The `Limiter` that the policy selects."""
         return self.limiters[self.policy_source().decisions.account_limits]
 
     def refund(self, account):
-        """Give back the token of a request that has not run."""
+        """Return the token of a request that was not run."""
         if account.limit is not None:
             self.limiter.refund(account)
 
-    def ask_back_in_time(self, error, rule):
-        """Let a caller come back while its answer may still be in time."""
+    def cap_retry_after(self, error, rule):
+        """Shorten a Retry-After that would make the retry miss its objective.
+
+        The delay is drawn from a range, so that retries do not come at once.
+        """
         if rule.objective is None or rule.objective.latency_ms is None:
             return
-        latest = RETURN_SHARE * rule.objective.latency_ms
-        if error.retry_after_ms > latest:
-            error.retry_after_ms = int(latest * self.random.uniform(0.5, 1.0))
+        longest = MAX_RETRY_SHARE * rule.objective.latency_ms
+        if error.retry_after_ms > longest:
+            error.retry_after_ms = int(longest * self.random.uniform(0.5, 1.0))
 
     def use_of(self, account):
-        """Return what is counted of an account."""
+        """Return the counts of an account; creates them if needed."""
         use = self.uses.get(account.name)
         if use is None:
             use = self.uses[account.name] = AccountUse()
         return use
 
     def policy_changed(self, policy):
-        """Forget accounts that policy no longer names."""
+        """Drop the counts of accounts that are no longer in the policy."""
         known = policy.accounts.by_name
         self.uses = {name: use for name, use in self.uses.items() if name in known}
