--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/__init__.py
@@ -1,4 +1,4 @@
-"""Client accounts: who calls, and whether they may."""
+"""Client accounts: authentication by key, and rate limits."""
 
 from papayabay_daemon._internal.accounts.authentication import (
     Authenticator,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/authentication.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/authentication.py
@@ -1,4 +1,4 @@
-"""Finds the client account of a request by its key."""
+"""Authenticates requests by the keys of client accounts."""
 
 import re
 from dataclasses import dataclass
@@ -9,34 +9,35 @@
 from papayabay_core.policy.accounts import Account
 from papayabay_daemon._internal.doors.headers import AUTHORIZATION_HEADER, without
 
-BEARER = re.compile(r"bearer +([\x21-\x7e]{1,512}) *", re.IGNORECASE)
-COUNTED = ("accepted", "missing", "malformed", "unknown", "revoked", "stale")
+BEARER_PATTERN = re.compile(r"bearer +([\x21-\x7e]{1,512}) *", re.IGNORECASE)
+COUNTERS = ("accepted", "missing", "malformed", "unknown", "revoked", "stale")
 STALE_RETRY_MS = 500
-"""Retry-After of a request refused for outdated accounts."""
+"""Retry-After, before jitter, of a request refused because the accounts known
+here may be outdated."""
 
 
 class Freshness(Protocol):
-    """How far the accounts known here may be relied on."""
+    """How current the configuration of this daemon, with its accounts, is."""
 
     def is_fresh(self) -> bool:
-        """Return whether they were the newest lately enough."""
+        """Return whether it was confirmed as the newest recently enough."""
 
     def is_behind(self) -> bool:
         """Return whether a newer configuration is known to exist."""
 
     async def ensure_fresh(self) -> bool:
-        """Return whether they are fresh, after a short wait if that helps."""
+        """Return whether it is fresh; may wait a short time for that."""
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Whom a request belongs to.
+    """The account that a request was authenticated for.
 
     Attributes
     ----------
     account : Account
     key_digest : str
-        Digest of the key that authenticated it; empty where none is needed.
+        Digest of the key; empty for paths that need none.
     """
 
     account: Account
@@ -44,7 +45,7 @@
 
 
 class Authenticator:
-    """Authenticates requests that enter here, where policy names accounts.
+    """Authenticates requests that enter here, if the policy has accounts.
 
     Parameters
     ----------
@@ -56,22 +57,22 @@
     Attributes
     ----------
     counters : dict of str to int
-        Requests accepted, and refused by reason.
+        Requests accepted, and requests refused by reason.
     """
 
     def __init__(self, policy_source, freshness, random):
         self.policy_source = policy_source
         self.freshness = freshness
         self.random = random
-        self.counters = dict.fromkeys(COUNTED, 0)
+        self.counters = dict.fromkeys(COUNTERS, 0)
 
     @property
     def is_on(self):
-        """Whether requests need keys."""
+        """Whether the policy has accounts, so that requests need keys."""
         return bool(self.policy_source().accounts)
 
     async def authenticate(self, incoming, rule):
-        """Return the account of a request; its key is taken out of it.
+        """Return the identity of a request, and remove its key.
 
         Parameters
         ----------
@@ -81,12 +82,13 @@
         Returns
         -------
         Identity or None
-            None without accounts, or for an anonymous request that is public.
+            None if the policy has no accounts, and for a request to a public
+            path without a valid key.
 
         Raises
         ------
         CallError
-            UNAUTHENTICATED; the answer never says why, the counters do.
+            UNAUTHENTICATED; the reason is counted but not part of the answer.
             ACCOUNTS_STALE, also for an unknown key that may be a new one.
         """
         if not self.is_on:
@@ -95,12 +97,12 @@
         if authorization is None:
             return None if rule.public else self.refuse("missing")
         incoming.headers = without(incoming.headers, AUTHORIZATION_HEADER)
-        found = BEARER.fullmatch(authorization)
-        if found is None:
+        match = BEARER_PATTERN.fullmatch(authorization)
+        if match is None:
             return None if rule.public else self.refuse("malformed")
-        # Looked up by its digest, a key's own characters decide nothing that
-        # could be timed.
-        digest = digest_key(found[1])
+        # Keys are looked up by digest, so that the timing of the comparison
+        # tells nothing about the characters of a key.
+        digest = digest_key(match[1])
         if not rule.public and not await self.freshness.ensure_fresh():
             self.refuse_stale()
         account = self.policy_source().accounts.find(digest)
@@ -110,10 +112,10 @@
         return Identity(account, "" if rule.public else digest)
 
     def check(self, call):
-        """Admit a call whose key is still valid.
+        """Check before each attempt that the call's key is still valid.
 
-        Asked before each attempt: between two of them the key may have been
-        revoked, or this process been stopped.
+        Between two attempts the key may have been revoked, or this process
+        may have been suspended.
 
         Raises
         ------
@@ -128,18 +130,22 @@
             self.refuse("revoked")
 
     def refuse_unknown(self):
-        """Refuse a key; for good unless a newer version may declare it."""
+        """Refuse an unknown key.
+
+        The refusal is temporary while a newer configuration, which may
+        declare the key, is known to exist.
+        """
         if self.freshness.is_behind():
             self.refuse_stale()
         self.refuse("unknown")
 
     def refuse(self, reason):
-        """Count a refusal for good; raises `CallError`."""
+        """Count and raise a permanent refusal (UNAUTHENTICATED)."""
         self.counters[reason] += 1
         raise CallError(ErrorKind.UNAUTHENTICATED)
 
     def refuse_stale(self):
-        """Count a refusal for a while; raises `CallError`."""
+        """Count and raise a temporary refusal (ACCOUNTS_STALE)."""
         self.counters["stale"] += 1
         retry_ms = int(STALE_RETRY_MS * self.random.uniform(0.5, 1.5))
         raise CallError(ErrorKind.ACCOUNTS_STALE, retry_after_ms=retry_ms)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/report.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/report.py
@@ -1,10 +1,10 @@
-"""What operators are shown of client accounts; never a key."""
+"""The report on client accounts for operators; holds no keys."""
 
 from dataclasses import asdict
 
 
 class AccountReport:
-    """Puts the counts of authentication and of limits together.
+    """Combines the counts of authentication and of rate limits.
 
     Parameters
     ----------
@@ -17,7 +17,7 @@
         self.limits = limits
 
     def values(self):
-        """Return requests that entered here, by account and by reason."""
+        """Return request counts by account and by result of authentication."""
         return {
             "accounts": {name: asdict(use) for name, use in self.limits.uses.items()},
             "keys": dict(self.authenticator.counters),
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/slots.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/slots.py
@@ -1,4 +1,4 @@
-"""The slots that an account's limit is divided into."""
+"""Divides the rate limit of an account into slots."""
 
 from dataclasses import dataclass
 from functools import lru_cache
@@ -6,23 +6,23 @@
 from papayabay_daemon._internal.accounts.owner_ring import hash_position
 
 MAX_SLOTS = 4
-"""Keepers that share one limit: without one of them, three quarters of it are
-still granted."""
+"""Most slots of a limit, each with an owner of its own. With four, the failure
+of one owner leaves three quarters of the limit available."""
 MIN_SLOT_DEPTH = 4
-"""Tokens that a slot holds at least where there are several. Those of a
-shallower one would be lost whenever its own requests pause."""
+"""Smallest depth of a slot, in tokens, if a limit has several. In a smaller
+one, tokens overflow and are lost whenever its own requests pause."""
 CACHED_ACCOUNTS = 4_096
 
 
 @dataclass(frozen=True, slots=True)
 class SlotLimit:
-    """The part of a limit that one keeper grants.
+    """The share of a limit that one owner grants.
 
     Attributes
     ----------
     rate_per_s : float
     depth : float
-        Tokens that may be saved up, at least one.
+        Most tokens that may accumulate, at least one.
     """
 
     rate_per_s: float
@@ -30,18 +30,18 @@
 
 
 def slot_count(limit):
-    """Return how many slots a limit has."""
+    """Return the number of slots of a limit."""
     return max(1, min(MAX_SLOTS, limit.burst // MIN_SLOT_DEPTH))
 
 
 def slot_limit(limit, share):
-    """Return what one slot of a limit grants.
+    """Return the `SlotLimit` of each slot of a limit.
 
     Parameters
     ----------
     limit : RateLimit
     share : float
-        Part of the fleet that this daemon knows to be there.
+        Share of all known members seen by this daemon; see `OwnerRing`.
     """
     count = slot_count(limit)
     return SlotLimit(
@@ -50,7 +50,7 @@
 
 
 def slot_positions(account):
-    """Return where on the ring the slots of an account's limit lie.
+    """Return the ring positions of the slots of an account's limit.
 
     Parameters
     ----------
@@ -62,5 +62,5 @@
 
 @lru_cache(maxsize=CACHED_ACCOUNTS)
 def positions_of(name, count):
-    """Return the positions of so many slots of an account."""
+    """Return the ring positions of an account's slots."""
     return tuple(hash_position(f"{name}/{slot}") for slot in range(count))
