--- a/tests/unit/daemon/account_support.py
+++ b/tests/unit/daemon/account_support.py
@@ -16,7 +16,10 @@
 
 
 def account_policy(version=1, **changes):
-    """Return a policy with the accounts of `KEYS`, changed by name."""
+    """Return a policy with the accounts of `KEYS`.
+
+    Keyword arguments change the values of the account of that name.
+    """
     accounts = {
         name: {"key_digests": [digest_key(key)]} | changes.get(name, {})
         for name, key in KEYS.items()
@@ -35,8 +38,8 @@
     return Policy(PolicyDocument.model_validate(values), version)
 
 
-class SetFreshness:
-    """A `Freshness` that tests set."""
+class FakeFreshness:
+    """A `Freshness` with fixed values."""
 
     def __init__(self, fresh=True, behind=False):
         self.fresh = fresh
@@ -54,23 +57,23 @@
 
 def authenticator_of(policy, freshness=None):
     """Return an authenticator with a seeded generator."""
-    return Authenticator(lambda: policy, freshness or SetFreshness(), seeded("a"))
+    return Authenticator(lambda: policy, freshness or FakeFreshness(), seeded("a"))
 
 
 def incoming_with(*fields, dialect, path="/read"):
-    """Return a request read from raw header fields."""
+    """Return a request parsed from raw header fields."""
     request = dialect.read("GET", path, end_to_end(fields, dialect.names))
     assert isinstance(request, Incoming)
     return request
 
 
 def rule_of(policy, path="/read"):
-    """Return the rule of a path of the one service."""
+    """Return the rule for GET requests to a path of the service."""
     return policy.rule_for("svc", "GET", path)
 
 
 def account_call(account, **changes):
-    """Return a call of an account; an empty name is that of none."""
+    """Return a call of an account; the empty name stands for no account."""
     values = {
         "request_id": "r",
         "service": "svc",
@@ -88,5 +91,5 @@
 
 
 def live_call(request_id):
-    """Return just what the call tree reads of a call."""
+    """Return a stand-in with the call attributes that `CallTree` reads."""
     return SimpleNamespace(request_id=request_id, credits=0, expires_at=1e12)
--- a/tests/unit/daemon/test_account_authentication.py
+++ b/tests/unit/daemon/test_account_authentication.py
@@ -1,4 +1,4 @@
-"""Who calls: keys of client accounts at the entry."""
+"""Authentication of requests by the keys of client accounts."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 from papayabay_daemon._internal.doors.dialect import OwnCallerDialect
 from tests.unit.daemon.account_support import (
     KEYS,
-    SetFreshness,
+    FakeFreshness,
     account_policy,
     authenticator_of,
     incoming_with,
@@ -25,7 +25,7 @@
 
 
 def authenticated(policy, *fields, path="/read", freshness=None):
-    """Return the identity of a request, and the request."""
+    """Authenticate a request; return its identity and the request."""
     incoming = incoming_with(HOST, *fields, dialect=OwnCallerDialect(), path=path)
     authenticator = authenticator_of(policy, freshness)
     authenticating = authenticator.authenticate(incoming, rule_of(policy, path))
@@ -42,30 +42,30 @@
             authenticated(account_policy(), *fields, path=path)
         return raised.exception
 
-    def test_a_known_key_names_its_account(self):
-        account, _ = authenticated(account_policy(), bearer(KEYS["small"]))
-        self.assertEqual(account.account.name, "small")
+    def test_a_known_key_authenticates_its_account(self):
+        identity, _ = authenticated(account_policy(), bearer(KEYS["small"]))
+        self.assertEqual(identity.account.name, "small")
 
     def test_a_key_is_not_forwarded(self):
-        """Guards against a target, or its log, getting a caller's key."""
+        """Guards against a caller's key reaching a target or its log."""
         _, incoming = authenticated(account_policy(), bearer(KEYS["small"]))
         self.assertNotIn("authorization", dict(lowered(incoming.headers)))
 
     def test_a_key_is_not_forwarded_on_a_public_path(self):
-        """Guards against a key that is not needed being passed on."""
+        """Guards against forwarding a key that the path does not need."""
         for key in (KEYS["small"], "unknown"):
             _, incoming = authenticated(account_policy(), bearer(key), path="/open")
             self.assertNotIn("authorization", dict(lowered(incoming.headers)))
 
-    def test_no_key_and_unknown_keys_are_refused_alike(self):
-        """Guards against an answer that tells a guesser what was wrong."""
+    def test_missing_and_unknown_keys_get_the_same_answer(self):
+        """Guards against an answer that helps an attacker to guess keys."""
         missing = self.refused()
         unknown = self.refused(bearer("nobody's"))
         self.assertEqual(missing.kind, ErrorKind.UNAUTHENTICATED)
         self.assertEqual(str(missing), str(unknown))
 
     def test_malformed_fields_are_refused(self):
-        """Guards against fields that two readers could read in two ways."""
+        """Guards against header values that parsers interpret differently."""
         key = KEYS["small"].encode()
         for value in (
             b"",
@@ -82,61 +82,61 @@
                 error = self.refused((b"authorization", value))
                 self.assertEqual(error.kind, ErrorKind.UNAUTHENTICATED)
 
-    def test_the_scheme_is_read_in_any_case(self):
-        account, _ = authenticated(account_policy(), bearer(KEYS["large"], b"bEARER"))
-        self.assertEqual(account.account.name, "large")
+    def test_the_scheme_is_case_insensitive(self):
+        identity, _ = authenticated(account_policy(), bearer(KEYS["large"], b"bEARER"))
+        self.assertEqual(identity.account.name, "large")
 
     def test_two_keys_are_refused(self):
-        """Guards against a request that acts for two accounts at once."""
+        """Guards against a request authenticated for two accounts at once."""
         fields = (HOST, bearer(KEYS["small"]), bearer(KEYS["large"]))
         with self.assertRaises(ValueError):
             incoming_with(*fields, dialect=OwnCallerDialect())
 
     def test_a_public_path_needs_no_key(self):
-        account, _ = authenticated(account_policy(), path="/open")
-        self.assertIsNone(account)
+        identity, _ = authenticated(account_policy(), path="/open")
+        self.assertIsNone(identity)
 
-    def test_without_accounts_nothing_is_asked_and_nothing_is_removed(self):
+    def test_without_accounts_no_key_is_required_or_removed(self):
         policy = Policy(PolicyDocument(services={}), 1)
-        account, incoming = authenticated(policy, bearer("any"))
-        self.assertIsNone(account)
+        identity, incoming = authenticated(policy, bearer("any"))
+        self.assertIsNone(identity)
         self.assertIn("authorization", dict(lowered(incoming.headers)))
 
-    def test_an_account_named_from_outside_is_dropped(self):
-        """Guards against a caller that poses as another account."""
+    def test_an_account_header_sent_by_a_caller_is_dropped(self):
+        """Guards against a caller that impersonates another account."""
         fields = ((b"PAPAYABAY-Account", b"large"), bearer(KEYS["small"]))
         _, incoming = authenticated(account_policy(), *fields)
         self.assertNotIn("papayabay-account", dict(lowered(incoming.headers)))
 
 
 class FreshnessTests(unittest.TestCase):
-    """Keys of a configuration that may be outdated."""
+    """Keys checked against a configuration that may be outdated."""
 
     def refusal(self, *fields, path="/read", **freshness):
         with self.assertRaises(CallError) as raised:
-            known = SetFreshness(**freshness)
-            authenticated(account_policy(), *fields, path=path, freshness=known)
+            fake = FakeFreshness(**freshness)
+            authenticated(account_policy(), *fields, path=path, freshness=fake)
         return raised.exception
 
-    def test_a_known_key_may_have_been_revoked(self):
-        """Guards against a revoked key that runs at a daemon cut off."""
+    def test_a_known_key_is_refused_while_stale(self):
+        """Guards against a partitioned daemon that accepts revoked keys."""
         error = self.refusal(bearer(KEYS["small"]), fresh=False)
         self.assertEqual(error.kind, ErrorKind.ACCOUNTS_STALE)
         self.assertGreater(error.retry_after_ms, 0)
 
-    def test_an_unknown_key_may_be_a_new_one(self):
-        """Guards against a caller that gives up as its key came too soon."""
-        for known in ({"fresh": False}, {"behind": True}):
-            error = self.refusal(bearer("new"), **known)
+    def test_an_unknown_key_is_refused_temporarily_while_stale(self):
+        """Guards against a permanent refusal of a key that was just added."""
+        for freshness in ({"fresh": False}, {"behind": True}):
+            error = self.refusal(bearer("new"), **freshness)
             self.assertEqual(error.kind, ErrorKind.ACCOUNTS_STALE)
 
-    def test_a_public_path_is_served_all_the_same(self):
-        known = SetFreshness(fresh=False)
-        identity, _ = authenticated(account_policy(), path="/open", freshness=known)
+    def test_a_public_path_is_served_while_stale(self):
+        stale = FakeFreshness(fresh=False)
+        identity, _ = authenticated(account_policy(), path="/open", freshness=stale)
         self.assertIsNone(identity)
 
     def test_a_key_revoked_between_two_attempts_is_refused(self):
-        """Guards against repeats of a request whose key is gone."""
+        """Guards against retries of a request whose key was revoked."""
         policies = [account_policy()]
         authenticator = authenticator_of(None)
         authenticator.policy_source = lambda: policies[-1]
@@ -147,16 +147,16 @@
             authenticator.check(call)
         self.assertEqual(raised.exception.kind, ErrorKind.UNAUTHENTICATED)
 
-    def test_a_process_that_was_stopped_checks_again(self):
-        """Guards against a request that was read before a pause."""
-        authenticator = authenticator_of(account_policy(), SetFreshness(fresh=False))
+    def test_freshness_is_checked_again_before_each_attempt(self):
+        """Guards against a process that resumes with outdated accounts."""
+        authenticator = authenticator_of(account_policy(), FakeFreshness(fresh=False))
         with self.assertRaises(CallError) as raised:
             authenticator.check(SimpleNamespace(key_digest="any"))
         self.assertEqual(raised.exception.kind, ErrorKind.ACCOUNTS_STALE)
 
 
 class AnswerTests(unittest.TestCase):
-    def test_a_401_says_which_scheme_it_wants(self):
+    def test_a_401_names_the_scheme(self):
         error = CallError(ErrorKind.UNAUTHENTICATED)
         answer = OwnCallerDialect().render_error(error)
         self.assertIsInstance(answer, Answer)
@@ -166,20 +166,20 @@
 
 class PolicyTests(unittest.TestCase):
     def test_a_key_of_two_accounts_is_refused(self):
-        """Guards against a key whose owner depends on an order of names."""
+        """Guards against a key whose account depends on the order of names."""
         shared = {"key_digests": ["0" * 32]}
         values = {"accounts": {"a": shared, "b": shared}}
         with self.assertRaises(PolicyError):
             Policy(validate_policy(values, "policy"), 1)
 
     def test_a_key_in_plain_text_is_refused(self):
-        """Guards against a key in version control."""
+        """Guards against policy files with keys in version control."""
         values = {"accounts": {"a": {"key_digests": ["my-secret-key"]}}}
         with self.assertRaises(PolicyError) as raised:
             validate_policy(values, "policy")
         self.assertNotIn("my-secret-key", str(raised.exception))
 
-    def test_an_account_may_have_a_class(self):
+    def test_an_account_may_set_the_class_of_its_calls(self):
         policy = account_policy(small={"importance": "critical"})
         classes = {name: a.importance for name, a in policy.accounts.by_name.items()}
         self.assertEqual(classes, {"small": Importance.CRITICAL, "large": None})
--- a/tests/unit/daemon/test_account_calls.py
+++ b/tests/unit/daemon/test_account_calls.py
@@ -1,4 +1,4 @@
-"""Accounts on the way of a call: its class, its parents, links, targets."""
+"""The account of a call: classes, child calls, links and targets."""
 
 import unittest
 from dataclasses import replace
@@ -30,7 +30,7 @@
 
 
 def flow_of(policy, tree=None):
-    """Return a flow that can make calls, but send none."""
+    """Return a flow that can create calls but not send them."""
     settings = make_settings("d1")
     calls = settings.calls.model_copy(update={"infer_parents": True})
     parts = SimpleNamespace(
@@ -42,7 +42,7 @@
 
 
 def request(*fields, **values):
-    """Return a request for the one service."""
+    """Return a request to the service; `values` are set as attributes."""
     host = (b"Host", b"svc")
     incoming = incoming_with(host, *fields, dialect=OwnCallerDialect())
     incoming.body = Body()
@@ -52,18 +52,18 @@
 
 
 class EntryTests(unittest.TestCase):
-    def entered(self, **changes):
+    def enter(self, **changes):
         policy = account_policy(**changes)
         identity = Identity(policy.accounts.by_name["small"], "digest")
         return flow_of(policy).entry_call(request(), rule_of(policy), "r", identity)
 
-    def test_a_class_of_the_account_takes_precedence(self):
-        call = self.entered(small={"importance": "critical"})
+    def test_the_class_of_the_account_overrides_that_of_the_path(self):
+        call = self.enter(small={"importance": "critical"})
         self.assertEqual(call.importance, Importance.CRITICAL)
         self.assertEqual(call.own_class, Importance.CRITICAL)
 
-    def test_paths_decide_among_accounts_of_one_class(self):
-        """Guards against look-ups that displace orders of equal accounts."""
+    def test_paths_rank_calls_within_one_account_class(self):
+        """Guards against unimportant paths that displace important ones."""
         policy = account_policy(small={"importance": "normal"})
         identity = Identity(policy.accounts.by_name["small"], "digest")
         flow, rule = flow_of(policy), rule_of(policy)
@@ -81,65 +81,65 @@
         self.assertLess(max(normal), min(sheddable))
         self.assertEqual({level >> 16 for level in sheddable}, {Importance.NORMAL})
 
-    def test_without_one_the_path_decides(self):
-        self.assertEqual(self.entered().importance, Importance.NORMAL)
+    def test_without_an_account_class_the_path_decides(self):
+        self.assertEqual(self.enter().importance, Importance.NORMAL)
 
-    def test_calls_below_belong_to_the_same_account_and_class(self):
-        """Guards against an urgent account whose calls wait further down."""
+    def test_child_calls_inherit_account_and_class(self):
+        """Guards against child calls of a critical account that are queued."""
         policy = account_policy(small={"importance": "critical"})
-        call = self.entered(small={"importance": "critical"})
+        call = self.enter(small={"importance": "critical"})
         child = flow_of(policy).child_call(request(), rule_of(policy), call)
         self.assertEqual(child.account, "small")
         self.assertEqual(child.importance, Importance.CRITICAL)
 
 
 class ParentTests(unittest.TestCase):
-    """A request without a key runs on the authority of the call it names."""
+    """Requests without a key are authorized by the live call they name."""
 
     def setUp(self):
         self.tree = CallTree()
         self.token, self.live = self.tree.begin(live_call("parent"))
         self.flow = flow_of(account_policy(), self.tree)
 
-    def test_a_call_that_names_a_live_one_is_its_child(self):
+    def test_a_request_that_names_a_live_call_is_its_child(self):
         incoming = request(parent_id="parent")
         self.flow.infer_parent(incoming)
         self.assertEqual(incoming.call_token, self.token)
 
-    def test_a_coincidence_of_deadlines_is_no_authority(self):
-        """Guards against a caller without a key that passes for a child."""
+    def test_a_matching_deadline_does_not_authorize(self):
+        """Guards against a caller without a key that is taken for a child."""
         self.tree.live[self.token].call.expires_at = 1.0
         self.tree.parents_named = False
         incoming = request(deadline_ms=0)
         self.flow.infer_parent(incoming)
         self.assertEqual(incoming.call_token, "")
 
-    def test_a_child_without_a_parent_is_no_stranger(self):
-        """Guards against a target's call that is told never to come back."""
+    def test_a_child_of_an_ended_call_is_not_unauthenticated(self):
+        """Guards against a permanent refusal of a target's own call."""
         with self.assertRaises(CallError) as raised:
             self.flow.infer_parent(request(parent_id="gone"))
         self.assertEqual(raised.exception.kind, ErrorKind.CALLER_LEFT)
 
-    def test_a_caller_with_a_key_is_nobody_s_child(self):
-        """Guards against a key that is not checked for the parent named."""
+    def test_a_request_with_a_key_is_not_a_child(self):
+        """Guards against a key left unchecked because a parent is named."""
         key = (b"Authorization", b"Bearer " + KEYS["small"].encode())
         incoming = request(key, parent_id="parent")
         self.flow.infer_parent(incoming)
         self.assertEqual(incoming.call_token, "")
 
 
-class TravelTests(unittest.TestCase):
-    def test_the_account_travels_between_daemons(self):
+class PropagationTests(unittest.TestCase):
+    def test_the_account_is_sent_between_daemons(self):
         for name in ("", "small"):
             frame = encode_call(1, account_call(name), b"", True, 0, 0)
             call = decode_call(read_call_frame(frame), 0.0)
             self.assertEqual(call.account, name)
 
-    def test_the_target_is_told_the_account(self):
+    def test_the_account_is_sent_to_the_target(self):
         head = OwnTargetDialect().request_head(account_call("small"), "t", None)
         self.assertIn(b"\r\nPapayabay-Account: small\r\n", head)
 
-    def test_an_anonymous_call_names_none(self):
+    def test_an_anonymous_call_sends_no_account(self):
         head = OwnTargetDialect().request_head(account_call(""), "t", None)
         self.assertNotIn(b"account", head.lower())
 
--- a/tests/unit/daemon/test_limited_calls.py
+++ b/tests/unit/daemon/test_limited_calls.py
@@ -1,4 +1,4 @@
-"""Tokens of limits in an overload, where refused requests repeat."""
+"""Rate limit tokens during an overload, when callers retry."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 ACCOUNT = Account("a", None, RateLimit(10.0, 10))
 
 
-class CountedLimits:
+class CountingLimits:
     def __init__(self):
         self.taken = 0
 
@@ -24,7 +24,7 @@
 
 
 class LimitedFlow(CallFlow):
-    """A flow whose requests end as a test wants."""
+    """A flow whose requests get a fixed answer."""
 
     def __init__(self, parts, answer):
         super().__init__(parts, None, None, None, None, None, None)
@@ -35,29 +35,29 @@
 
 
 class OverloadTests(unittest.TestCase):
-    """Guards against repeats of an overload that use up an account's limit."""
+    """Guards against retries in an overload that exhaust a rate limit."""
 
     def run_limited(self, answer, refusal=None):
         def check(call):
             if refusal:
                 raise CallError(refusal)
 
-        self.limits = CountedLimits()
+        self.limits = CountingLimits()
         router = SimpleNamespace(check=check)
         parts = SimpleNamespace(limits=self.limits, router=router)
         flow = LimitedFlow(parts, answer)
         return asyncio.run(flow.run_limited(None, None, ACCOUNT))
 
-    def test_one_that_is_refused_for_load_takes_no_token(self):
+    def test_a_request_refused_for_overload_takes_no_token(self):
         with self.assertRaises(CallError):
             self.run_limited(None, refusal=ErrorKind.OVERLOADED)
         self.assertEqual(self.limits.taken, 0)
 
-    def test_one_that_has_not_run_gives_its_token_back(self):
+    def test_a_request_that_was_not_run_gets_its_token_refunded(self):
         self.run_limited(Answer(503, effect=Effect.NOT_RUN))
         self.assertEqual(self.limits.taken, 0)
 
-    def test_one_that_may_have_run_has_spent_it(self):
+    def test_a_request_that_may_have_run_spends_its_token(self):
         for effect in (Effect.RUN, Effect.UNKNOWN):
             self.run_limited(Answer(502, effect=effect))
             self.assertEqual(self.limits.taken, 1)
