--- a/tests/unit/daemon/limits_fleet.py
+++ b/tests/unit/daemon/limits_fleet.py
@@ -1,6 +1,6 @@
-"""A fleet that holds accounts to their limits, in virtual time.
+"""A simulated fleet that enforces rate limits, in virtual time.
 
-Run as a program it prints how several ways compare with one exact bucket.
+Run as a program, it compares the strategies with one exact token bucket.
 """
 
 import asyncio
@@ -31,19 +31,20 @@
 WINDOW_S = 5.0
 ROUND_TRIP_S = 0.001
 DETECTION_S = 2.5
-"""How long it takes the others to know that a member is gone, or back."""
+"""Delay until the others detect a failed member. After a partition, they
+discover each other again in half that time."""
 START_S = 0.3
-"""How long it takes a process that starts to know the others."""
+"""Time in which a process that starts discovers the others."""
 
 
-class View:
-    """The members as one of them knows them."""
+class MembershipView:
+    """The membership as one daemon sees it."""
 
     def __init__(self, fleet, local):
         self.fleet = fleet
         self.local = local
         self.alive = {local.name: local}
-        self.died = {}
+        self.died_at = {}
         self.listed = None
         self.started_at = asyncio.get_running_loop().time()
         self.seeds = fleet.listed_seeds()
@@ -53,14 +54,16 @@
             self.listed = list(self.alive.values())
         return self.listed
 
-    def lost_since(self, at):
+    def lost_since(self, since):
         members = self.fleet.members
-        dead = [members[name] for name, died in self.died.items() if died > at]
+        dead = [
+            members[name] for name, died_at in self.died_at.items() if died_at > since
+        ]
         age = asyncio.get_running_loop().time() - self.started_at
         return [*dead, *self.unmet_seeds()] if age <= UNMET_RECENT_SECONDS else dead
 
     def lost_count(self):
-        return len(self.died) + len(self.unmet_seeds())
+        return len(self.died_at) + len(self.unmet_seeds())
 
     def listed_seed_count(self):
         return len(self.seeds)
@@ -69,22 +72,22 @@
         return [
             member
             for member in self.seeds
-            if member.name not in self.alive and member.name not in self.died
+            if member.name not in self.alive and member.name not in self.died_at
         ]
 
-    def found(self, name):
-        self.died.pop(name, None)
+    def add(self, name):
+        self.died_at.pop(name, None)
         self.alive[name] = self.fleet.members[name]
         self.listed = None
 
-    def lost(self, name):
+    def remove(self, name):
         if self.alive.pop(name, None) is not None:
-            self.died[name] = asyncio.get_running_loop().time()
+            self.died_at[name] = asyncio.get_running_loop().time()
             self.listed = None
 
 
-class Wire:
-    """One daemon's links."""
+class FakeLinks:
+    """The links of one daemon."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -95,7 +98,7 @@
 
     async def request(self, peer, topic, payload, timeout):
         await asyncio.sleep(ROUND_TRIP_S / 2)
-        if not self.fleet.reaches(self.name, peer.name):
+        if not self.fleet.can_reach(self.name, peer.name):
             await asyncio.sleep(timeout)
             raise TimeoutError
         handler = self.fleet.handlers.get(peer.name)
@@ -107,40 +110,40 @@
 
 
 class Daemon:
-    """What one process knows of the limits."""
+    """The rate limits of one process."""
 
     def __init__(self, fleet, name):
         clock = asyncio.get_running_loop().time
         local = fleet.members[name]
-        self.view = View(fleet, local)
+        self.view = MembershipView(fleet, local)
         self.ring = OwnerRing(self.view, clock)
-        wire = Wire(fleet, name)
-        keeper = LimitOwner(lambda: fleet.policy, self.ring, wire, clock)
+        links = FakeLinks(fleet, name)
+        owner = LimitOwner(lambda: fleet.policy, self.ring, links, clock)
         rng = random.Random(f"{fleet.seed}-{name}")
         limiters = {
-            "keepers": OwnerLimiter(local, self.ring, keeper, wire, rng, clock),
+            "keepers": OwnerLimiter(local, self.ring, owner, links, rng, clock),
             "parts": EqualShareLimiter(self.view, clock),
         }
-        self.limiter = limiters[fleet.way]
-        self.running = asyncio.ensure_future(self.ring.run())
+        self.limiter = limiters[fleet.strategy]
+        self.ring_task = asyncio.ensure_future(self.ring.run())
 
 
 class Fleet:
-    """Daemons by name, with partitions, kills and starts.
+    """Daemons that can be started, killed and partitioned.
 
     Attributes
     ----------
     admitted : dict of str to list of float
-        When requests of each account were let through.
+        Times of admitted requests, by account.
     arrivals : list of (float, str)
-        When requests of which account came.
+        Time and account of each request.
     reasons : dict of str to int
-        How requests were answered.
+        Number of requests by outcome.
     """
 
-    def __init__(self, size, way="keepers", seed=1, **limits):
+    def __init__(self, size, strategy="keepers", seed=1, **limits):
         self.seed = seed
-        self.way = way
+        self.strategy = strategy
         self.random = random.Random(seed)
         self.handlers = {}
         self.members = {
@@ -149,7 +152,7 @@
         }
         self.sides = dict.fromkeys(self.members, 0)
         self.daemons = {}
-        self.has_run = False
+        self.has_started = False
         self.admitted = {}
         self.arrivals = []
         self.reasons = {}
@@ -157,7 +160,7 @@
         self.change_limits(**limits)
 
     def change_limits(self, **limits):
-        """Put limits in force, as account to (rate, burst)."""
+        """Set the limits: rate and burst by account."""
         values = {
             "accounts": {
                 name: {"rate_per_s": rate, "burst": burst}
@@ -167,53 +170,53 @@
         self.policy = Policy(PolicyDocument.model_validate(values), 1)
 
     def listed_seeds(self):
-        """Return the members in the seed rows, once any were written."""
-        if not self.has_run:
+        """Return the seeds listed in the store; none before a first start."""
+        if not self.has_started:
             return []
         names = list(self.members)[: SEEDS_PER_DOMAIN * DOMAINS]
         return [self.members[name] for name in names]
 
-    def reaches(self, one, other):
-        both = one in self.daemons and other in self.daemons
-        return both and self.sides[one] == self.sides[other]
+    def can_reach(self, one, other):
+        both_run = one in self.daemons and other in self.daemons
+        return both_run and self.sides[one] == self.sides[other]
 
     def start(self, names):
-        """Start processes; they and the others know of each other soon."""
+        """Start processes; within `START_S`, all discover each other."""
         for name in names:
             self.daemons[name] = Daemon(self, name)
         loop = asyncio.get_running_loop()
-        loop.call_later(START_S * 0.5, self.introduce)
-        loop.call_later(START_S, self.introduce)
-        self.has_run = True
+        loop.call_later(START_S * 0.5, self.discover)
+        loop.call_later(START_S, self.discover)
+        self.has_started = True
 
-    def introduce(self):
+    def discover(self):
         for name, daemon in self.daemons.items():
             for other in self.daemons:
-                if self.reaches(name, other) and other not in daemon.view.alive:
-                    daemon.view.found(other)
+                if self.can_reach(name, other) and other not in daemon.view.alive:
+                    daemon.view.add(other)
 
     def kill(self, names):
-        """Kill processes; the others know after some time."""
+        """Kill processes; the others detect it after `DETECTION_S`."""
         for name in names:
-            self.daemons.pop(name).running.cancel()
+            self.daemons.pop(name).ring_task.cancel()
             self.handlers.pop(name, None)
-        asyncio.get_running_loop().call_later(DETECTION_S, self.notice)
+        asyncio.get_running_loop().call_later(DETECTION_S, self.detect_losses)
 
-    def notice(self):
+    def detect_losses(self):
         for name, daemon in self.daemons.items():
             for other in list(daemon.view.alive):
-                if not self.reaches(name, other):
-                    daemon.view.lost(other)
+                if not self.can_reach(name, other):
+                    daemon.view.remove(other)
 
-    def cut(self, names):
-        """Part some members from the rest, or join all again."""
+    def partition(self, names):
+        """Separate some members from the rest; none heals the partition."""
         self.sides = {name: int(name in names) for name in self.members}
         loop = asyncio.get_running_loop()
-        loop.call_later(DETECTION_S, self.notice)
-        loop.call_later(DETECTION_S / 2, self.introduce)
+        loop.call_later(DETECTION_S, self.detect_losses)
+        loop.call_later(DETECTION_S / 2, self.discover)
 
     async def send(self, account, rate, seconds, entries=None):
-        """Send requests of an account to entries drawn from some."""
+        """Send requests of an account through entries drawn at random."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while True:
@@ -231,13 +234,15 @@
         daemon = self.daemons.get(entry)
         outcome = "down"
         if daemon is not None:
-            outcome = await self.take(daemon, self.policy.accounts.by_name[account])
+            outcome = await self.request_token(
+                daemon, self.policy.accounts.by_name[account]
+            )
         if outcome == "allowed":
             moment = asyncio.get_running_loop().time()
             self.admitted.setdefault(account, []).append(moment)
         self.reasons[outcome] = self.reasons.get(outcome, 0) + 1
 
-    async def take(self, daemon, account):
+    async def request_token(self, daemon, account):
         try:
             await daemon.limiter.acquire(account)
         except CallError as error:
@@ -248,10 +253,10 @@
     async def close(self):
         await asyncio.gather(*self.tasks)
         for daemon in self.daemons.values():
-            daemon.running.cancel()
+            daemon.ring_task.cancel()
 
     def most_in_window(self, account):
-        """Return the most requests let through in any window."""
+        """Return the most requests admitted in any window."""
         times = sorted(self.admitted.get(account, []))
         ends = (bisect_left(times, moment + WINDOW_S) for moment in times)
         return max((end - begin for begin, end in enumerate(ends)), default=0)
@@ -261,8 +266,8 @@
         limit = self.policy.accounts.by_name[account].limit
         return limit.rate_per_s * WINDOW_S + limit.burst
 
-    def lost(self, account):
-        """Return what part is refused of what one exact bucket admits."""
+    def lost_share(self, account):
+        """Return the refused share of the requests an exact bucket admits."""
         limit = self.policy.accounts.by_name[account].limit
         bucket = TokenBucket(limit.rate_per_s, limit.burst, 0.0)
         times = sorted(moment for moment, name in self.arrivals if name == account)
@@ -270,8 +275,8 @@
         return 1.0 - len(self.admitted.get(account, ())) / max(1, exact)
 
 
-def play(scenario, *args, **settings):
-    """Return a fleet after a scenario, settled when that begins."""
+def run_scenario(scenario, *args, **settings):
+    """Run a scenario on a settled fleet; return the fleet."""
 
     async def main():
         fleet = Fleet(*args, **settings)
@@ -284,13 +289,13 @@
     return run_virtually(main)
 
 
-USUAL = 30.0
+USUAL_RATE = 30.0
 LIMIT = (48.0, 48)
-"""A limit of 1.6 times the usual, and a second of it at once."""
+"""Rate of 1.6 times the usual rate, and a burst of one second of it."""
 
 
 async def calm(fleet):
-    await fleet.send("a", USUAL, 20.0)
+    await fleet.send("a", USUAL_RATE, 20.0)
 
 
 async def at_the_limit(fleet):
@@ -298,26 +303,26 @@
     await fleet.send("a", rate, 30.0)
 
 
-async def small(fleet):
-    await fleet.send("a", USUAL, 20.0, entries=["vm-0"])
+async def one_entry(fleet):
+    await fleet.send("a", USUAL_RATE, 20.0, entries=["vm-0"])
 
 
-async def jumping(fleet):
+async def alternating_entries(fleet):
     names = list(fleet.members)
     half = len(names) // 2
-    sides = itertools.cycle((names[:half], names[half:]))
+    groups = itertools.cycle((names[:half], names[half:]))
     for _ in range(10):
-        await fleet.send("a", USUAL, 2.0, entries=next(sides))
+        await fleet.send("a", USUAL_RATE, 2.0, entries=next(groups))
 
 
-async def hot(fleet):
+async def over_limit(fleet):
     await asyncio.gather(
-        fleet.send("a", 7.5 * USUAL, 10.0), fleet.send("b", USUAL, 10.0)
+        fleet.send("a", 7.5 * USUAL_RATE, 10.0), fleet.send("b", USUAL_RATE, 10.0)
     )
 
 
 async def some_killed(fleet):
-    sending = asyncio.ensure_future(fleet.send("a", USUAL, 20.0))
+    sending = asyncio.ensure_future(fleet.send("a", USUAL_RATE, 20.0))
     await asyncio.sleep(4.0)
     killed = list(fleet.members)[:: max(2, len(fleet.members) // 10)]
     fleet.kill(killed)
@@ -326,8 +331,8 @@
     await sending
 
 
-async def keeper_killed(fleet):
-    sending = asyncio.ensure_future(fleet.send("a", USUAL, 20.0))
+async def owner_killed(fleet):
+    sending = asyncio.ensure_future(fleet.send("a", USUAL_RATE, 20.0))
     await asyncio.sleep(4.0)
     daemon = next(iter(fleet.daemons.values()))
     first, *_ = slots.slot_positions(fleet.policy.accounts.by_name["a"])
@@ -336,28 +341,28 @@
 
 
 async def all_restarted(fleet):
-    """All processes start again just before an account's usual requests."""
-    await fleet.send("a", USUAL, 2.0)
+    """All processes restart just before an account sends at its usual rate."""
+    await fleet.send("a", USUAL_RATE, 2.0)
     fleet.kill(list(fleet.members))
     await asyncio.sleep(1.0)
     fleet.arrivals.clear()
     fleet.admitted.clear()
     fleet.start(fleet.members)
     await asyncio.sleep(START_S)
-    await fleet.send("a", USUAL, 4.0)
+    await fleet.send("a", USUAL_RATE, 4.0)
 
 
-async def lowered(fleet):
-    sending = asyncio.ensure_future(fleet.send("a", USUAL, 20.0))
+async def limit_lowered(fleet):
+    sending = asyncio.ensure_future(fleet.send("a", USUAL_RATE, 20.0))
     await asyncio.sleep(8.0)
-    fleet.change_limits(a=(USUAL / 5, int(USUAL / 5)), b=LIMIT)
+    fleet.change_limits(a=(USUAL_RATE / 5, int(USUAL_RATE / 5)), b=LIMIT)
     fleet.admitted.clear()
     fleet.arrivals.clear()
     await sending
 
 
 async def all_killed(fleet):
-    sending = asyncio.ensure_future(fleet.send("a", 7.5 * USUAL, 16.0))
+    sending = asyncio.ensure_future(fleet.send("a", 7.5 * USUAL_RATE, 16.0))
     await asyncio.sleep(6.0)
     fleet.kill(list(fleet.members))
     await asyncio.sleep(0.5)
@@ -365,39 +370,41 @@
     await sending
 
 
-async def parted(fleet):
-    sending = asyncio.ensure_future(fleet.send("a", 7.5 * USUAL, 40.0))
+async def partitioned(fleet):
+    sending = asyncio.ensure_future(fleet.send("a", 7.5 * USUAL_RATE, 40.0))
     await asyncio.sleep(4.0)
-    fleet.cut(list(fleet.members)[: max(1, len(fleet.members) // 5)])
+    fleet.partition(list(fleet.members)[: max(1, len(fleet.members) // 5)])
     await asyncio.sleep(26.0)
-    fleet.cut([])
+    fleet.partition([])
     await sending
 
 
 SCENARIOS = (
     calm,
-    small,
-    jumping,
-    hot,
+    one_entry,
+    alternating_entries,
+    over_limit,
     some_killed,
-    keeper_killed,
+    owner_killed,
     all_killed,
-    lowered,
-    parted,
+    limit_lowered,
+    partitioned,
 )
 
 
 def compare():
-    """Print, by scenario and way, the fullest window and what is lost."""
-    ways = (("parts", 4), ("keepers", 1), ("keepers", 4))
+    """Print the fullest window and the lost share by scenario and strategy."""
+    strategies = (("parts", 4), ("keepers", 1), ("keepers", 4))
     for size in (2, 62, 195):
         for scenario in SCENARIOS:
             cells = []
-            for way, count in ways:
+            for strategy, count in strategies:
                 with mock.patch.object(slots, "MAX_SLOTS", count):
-                    fleet = play(scenario, size, way, a=LIMIT, b=LIMIT)
+                    fleet = run_scenario(scenario, size, strategy, a=LIMIT, b=LIMIT)
                 used = fleet.most_in_window("a") / fleet.bound("a")
-                cells.append(f"{way}/{count} {used:.3f} {fleet.lost('a'):+.3f}")
+                cells.append(
+                    f"{strategy}/{count} {used:.3f} {fleet.lost_share('a'):+.3f}"
+                )
             print(f"{size:4} {scenario.__name__:12}", " | ".join(cells), flush=True)
 
 
