--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/announcement.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/announcement.py
@@ -1,4 +1,4 @@
-"""What a target says of itself."""
+"""Announcements, by which a target registers with its daemon."""
 
 from dataclasses import dataclass, replace
 from typing import Annotated
@@ -9,15 +9,16 @@
 from papayabay_core.models import Strict
 
 LOOPBACK_HOSTS = frozenset({"127.0.0.1", "localhost", "::1"})
+"""Hosts that an announcement may name; all are this VM."""
 DEFAULT_LEASE_MS = 10_000
 SERVICE_PATTERN = r"^[A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?\Z"
 
 
 def check_loopback(url):
-    """Return a URL of this VM; others are refused.
+    """Return a URL that points to this VM; raises `ValueError` for others.
 
-    A daemon that could be sent elsewhere would hand calls to a machine
-    whose load and life it knows nothing of.
+    Otherwise the daemon could be made to send calls to a machine whose load
+    and state it does not know.
     """
     parts = urlsplit(url)
     if parts.scheme != "http" or parts.hostname not in LOOPBACK_HOSTS:
@@ -27,8 +28,8 @@
     return url
 
 
-def check_bare(url):
-    """Return a loopback URL without path and query."""
+def check_address(url):
+    """Return a loopback URL without path and query; raises `ValueError`."""
     parts = urlsplit(check_loopback(url))
     if parts.path not in ("", "/") or parts.query or parts.fragment:
         raise ValueError("must have no path")
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class Announcement:
-    """A target in service.
+    """A target as it was announced.
 
     Attributes
     ----------
@@ -50,32 +51,33 @@
     host : str
     port : int
     slots : int
-        Calls it works on at once.
+        Calls that the target runs concurrently.
     connections : int
-        Connections it takes.
+        Connections that the target accepts.
     cold_start_ms : int
-        How long it is slower after its start.
+        How long the target is slower after its start.
     load_url, cancel_path, drain_path : str
-        Empty where the target has none; `{call}` in `cancel_path` stands
-        for the call's token.
+        Empty if the target has none; `{call}` in `cancel_path` stands for
+        the call's token.
     shed_status : int
-        The status by which it promises to refuse before running; 0 without.
+        Status of answers by which the target refuses a call without running
+        it; 0 if it has none.
     incarnation : str
-        The name that the target's process gives itself.
+        Name that the target's process gives itself.
     born_ms : int
-        When that process started, Unix milliseconds by the target's clock; 0
-        where it doesn't say. A process that starts again may keep the name
-        of the one before it, and then differs in this alone.
+        Start time of that process, Unix milliseconds by the target's clock; 0
+        if unknown. A restarted process may keep the name of the previous one
+        and then differs in this alone.
     lease_ms : int
-        How long the announcement holds without being repeated.
+        TTL of the announcement.
     sequence : int
-        Grows with each announcement of one incarnation; 0 where the target
-        counts none.
+        Increases with each announcement of one process; 0 if the target sends
+        no sequence numbers.
     draining : bool
-        Whether it takes no new calls, and goes on with those it has.
+        Whether the target takes no new calls but finishes those it has.
     announced_at : float
-        When this incarnation was first announced, on `clock.now()`; the
-        cold start counts from here.
+        When this process was first announced, on `clock.now()`; the start of
+        the cold start.
     """
 
     service: str
@@ -97,23 +99,23 @@
 
     @property
     def process(self):
-        """What tells its process from all others that were at this VM."""
+        """Identifies its process among all that have run on this VM."""
         return self.incarnation, self.born_ms
 
     def same_process(self, other):
-        """Whether both announcements are of one process."""
-        mine = (self.service, self.host, self.port, self.process)
-        return mine == (other.service, other.host, other.port, other.process)
+        """Whether both announcements are of the same process."""
+        own = (self.service, self.host, self.port, self.process)
+        return own == (other.service, other.host, other.port, other.process)
 
-    def says_the_same(self, other):
-        """Whether another one differs in nothing but its number."""
+    def equals_except_sequence(self, other):
+        """Whether another announcement differs only in its sequence number."""
         return replace(self, sequence=0) == replace(other, sequence=0)
 
 
 class AnnounceMessage(Strict, frozen=True, kw_only=True):
-    """The body of an announcement."""
+    """The body of an announce request."""
 
-    checks = {"address": check_bare, "load_url": check_loopback}
+    checks = {"address": check_address, "load_url": check_loopback}
 
     service: Annotated[str, Meta(pattern=SERVICE_PATTERN)]
     address: Address
@@ -128,7 +130,7 @@
     lease_ms: Annotated[int, Meta(ge=100, le=600_000)] = DEFAULT_LEASE_MS
 
     def to_announcement(self):
-        """Return it in the form that the daemon keeps."""
+        """Return the `Announcement` for the registry."""
         parts = urlsplit(self.address)
         host = "127.0.0.1" if parts.hostname == "localhost" else parts.hostname
         return Announcement(
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/registry.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/registry.py
@@ -75,7 +75,7 @@
             announcement.cold_start_ms = previous.cold_start_ms
         self.lease_until = moment + announcement.lease_ms / 1000
         self.connect_failures = 0
-        changed = previous is None or not previous.says_the_same(announcement)
+        changed = previous is None or not previous.equals_except_sequence(announcement)
         self.announcement = announcement
         if not changed:
             return True
