--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/__init__.py
@@ -1,4 +1,4 @@
-"""The target beside this daemon: its announcement and its HTTP client."""
+"""The target beside this daemon: registry, discovery and HTTP client."""
 
 from papayabay_daemon._internal.target.announcement import Announcement
 from papayabay_daemon._internal.target.client import HttpTargetClient
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/cancellation.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/cancellation.py
@@ -1,4 +1,4 @@
-"""Telling the target that nobody waits for a call any more."""
+"""Notifies the target of calls whose result is no longer needed."""
 
 import asyncio
 from urllib.parse import quote
@@ -6,26 +6,28 @@
 from papayabay_core.http.requester import Requester
 
 MAX_NOTICES = 64
+"""Most notices that may be in flight; further ones are dropped."""
 MAX_CONNECTIONS = 4
 NOTICE_SECONDS = 1.0
-ANSWER_BYTES = 65_536
+"""Time-out of a notice, including the wait for a connection."""
+MAX_ANSWER_BYTES = 65_536
 
 
 class CancelNotices:
-    """Posts to the announced cancel path, in the background.
+    """Sends POST requests to the announced cancel path, in the background.
 
-    A notice only saves the target work, so it is dropped when too many are
-    under way already, and its failure is only counted.
+    A notice only saves the target some work. So notices are dropped when too
+    many are in flight, and failures are counted but not retried.
     """
 
     def __init__(self):
-        self.requester = Requester(NOTICE_SECONDS, ANSWER_BYTES)
-        self.slots = asyncio.Semaphore(MAX_CONNECTIONS)
+        self.requester = Requester(NOTICE_SECONDS, MAX_ANSWER_BYTES)
+        self.connections = asyncio.Semaphore(MAX_CONNECTIONS)
         self.tasks = set()
         self.counters = {"sent": 0, "dropped": 0, "failed": 0}
 
     def post(self, announcement, call_token):
-        """Tell the target; returns at once."""
+        """Start to send a notice for a call, if the target takes notices."""
         if not announcement.cancel_path:
             return
         if len(self.tasks) >= MAX_NOTICES:
@@ -41,16 +43,16 @@
         task.add_done_callback(self.tasks.discard)
 
     async def send(self, url):
-        """Post one notice."""
+        """Send one notice and count its result."""
         try:
-            async with self.slots, asyncio.timeout(NOTICE_SECONDS):
+            async with self.connections, asyncio.timeout(NOTICE_SECONDS):
                 await self.requester.send("POST", url)
             self.counters["sent"] += 1
         except (OSError, TimeoutError, ValueError):
             self.counters["failed"] += 1
 
     async def close(self):
-        """Drop what is under way."""
+        """Cancel the notices in flight and close all connections."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
@@ -1,4 +1,4 @@
-"""Asks a target whose address is known whether it is there."""
+"""Discovers, at the daemon's start, a target that is already running."""
 
 import asyncio
 
@@ -6,28 +6,29 @@
 
 from papayabay_core.http.requester import Requester
 
-ASK_SECONDS = 1.0
-"""Longest wait for the target's answer; it announces itself later anyway."""
-ANSWER_BYTES = 65_536
-"""Longest answer that is read; what it says stands in its head."""
-LOOK_SECONDS = 0.05
-LOOKS = 100
-"""How often, and how many times, it is looked whether a policy names the
-service by now; together 5 s, in which several announcements are due."""
+HEALTH_TIMEOUT_SECONDS = 1.0
+"""Time-out of the health request; a target that misses it is not lost, as it
+announces itself later."""
+MAX_ANSWER_BYTES = 65_536
+"""Longest answer that is accepted; only its status and headers are used."""
+POLICY_POLL_SECONDS = 0.05
+MAX_POLICY_POLLS = 100
+"""Interval and number of checks for a policy that declares the service;
+together 5 s, in which the target announces itself several times."""
 log = logbook.Logger("papayabay.target")
 
 
 class TargetDiscovery:
-    """Announces, at the start, a target that runs already.
+    """Asks the target for its health once, and announces it if it answers.
 
-    A daemon that restarts beside a running target would not know it until
-    its next announcement. As the daemon is the only way to it, the target
-    would serve nobody until then.
+    A daemon that restarts beside a running target does not know the target
+    until its next announcement. As all calls to the target pass through this
+    daemon, the target would get none until then.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Nothing is asked without a `target`.
+        Without a `target`, nothing is asked.
     policy : callable
         Returns the policy in force.
     registry : TargetRegistry
@@ -41,36 +42,42 @@
         self.dialect = dialect
 
     async def run(self):
-        """Ask once, as soon as the way to ask is known."""
+        """Announce the target if it answers and is not yet known."""
         if self.target is None:
             return
         path = await self.health_path()
         if path is None or self.registry.current is not None:
             return
-        announcement = await self.ask(path)
+        announcement = await self.request_health(path)
         if announcement is None or self.registry.current is not None:
             return
-        log.notice("target {} was there already", announcement.incarnation)
+        log.notice(
+            "target {} is already running; announcing it", announcement.incarnation
+        )
         self.registry.announce(announcement)
 
     async def health_path(self):
-        """Return where to ask, or None while no policy says so."""
-        for _ in range(LOOKS):
+        """Wait for a policy and return the health path in it, or None."""
+        for _ in range(MAX_POLICY_POLLS):
             policy = self.policy()
             if policy.knows(self.target.service):
                 return policy.declaration(self.target.service).health_path
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLICY_POLL_SECONDS)
         return None
 
-    async def ask(self, path):
-        """Return the announcement that the target's answer amounts to."""
+    async def request_health(self, path):
+        """Return the announcement derived from a health answer, or None."""
         url = f"http://{self.target.host}:{self.target.port}{path}"
-        requester = Requester(ASK_SECONDS, ANSWER_BYTES)
+        requester = Requester(HEALTH_TIMEOUT_SECONDS, MAX_ANSWER_BYTES)
         try:
-            async with asyncio.timeout(ASK_SECONDS):
+            async with asyncio.timeout(HEALTH_TIMEOUT_SECONDS):
                 reply = await requester.send("GET", url)
         except (OSError, TimeoutError, ValueError) as error:
-            log.info("target not there yet: {!r}", error)
+            log.info(
+                "health request to the target failed: {!r}; "
+                "waiting for it to announce itself",
+                error,
+            )
             return None
         finally:
             requester.close()
