--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
@@ -1,4 +1,4 @@
-"""How a daemon talks to its target, and how it takes what comes back."""
+"""Translates calls to requests for the target, and classifies its answers."""
 
 import re
 from collections.abc import Mapping
@@ -16,6 +16,7 @@
 RETRY_AFTER_MS_FIELD = b"papayabay-retry-after-ms"
 KEEP_ALIVE_PATTERN = re.compile(rb"timeout=([0-9]{1,6})")
 MAX_DIGITS = 8
+"""Header values with this many digits or more are ignored."""
 MAX_RETRY_AFTER_S = 3_600
 
 
@@ -24,13 +25,15 @@
 
 
 class Verdict(Enum):
-    """What an answer of the target is worth.
-
-    ``ANSWER`` goes to the caller as it is. ``SHED``, ``REJECTED`` and
-    ``REFUSED_BELOW`` promise that the call was not run; ``REJECTED`` comes
-    from a target that says it has slots free, so that handing over fewer
-    calls would not help, and ``REPLACED`` from another process than the one
-    that is announced. After ``UNVERIFIED`` nobody knows.
+    """Classification of an answer of the target.
+
+    ``ANSWER`` is forwarded to the caller unchanged. After ``SHED``,
+    ``REJECTED``, ``REPLACED`` and ``REFUSED_BELOW``, the call was not run.
+    ``REJECTED`` is a refusal by a target that reports free slots, so sending
+    it fewer calls would not help. ``REPLACED`` comes from another process
+    than the announced one. ``REFUSED_BELOW`` passes on the refusal of a call
+    that the target made itself. ``UNVERIFIED`` is an answer that may not be
+    the target's own; whether the call was run is unknown.
     """
 
     ANSWER = "answer"
@@ -42,12 +45,12 @@
 
 
 class TargetDialect(Protocol):
-    """How a call is put to the target, and its answer judged.
+    """The protocol spoken with a kind of target.
 
     Attributes
     ----------
     names : HeaderNames
-        Which fields of an answer end here.
+        Determines the fields of an answer that are not forwarded.
     """
 
     names: rules.HeaderNames
@@ -58,65 +61,65 @@
         """Return the request line and all header fields."""
 
     def is_stray(self, call: Call, fields: RawFields) -> bool:
-        """Return whether an answer is known to belong to another request."""
+        """Return whether an answer is known to be for another request."""
 
     def classify(
         self, call: Call, announcement: Announcement, status: int, fields: RawFields
     ) -> Verdict:
-        """Return what the answer to this request is worth."""
+        """Return the `Verdict` on the answer to this request."""
 
     def retry_after_ms(self, fields: RawFields) -> int:
-        """Return when a refusal says to come back, milliseconds; 0 without."""
+        """Return a refusal's Retry-After in milliseconds; 0 without one."""
 
     def idle_seconds(self, fields: RawFields) -> float | None:
-        """Return how long the target keeps an idle connection, if it says."""
+        """Return the target's idle time-out in seconds; None if not stated."""
 
     def announcement_from_health(
         self, target: TargetSettings, status: int, fields: RawFields
     ) -> Announcement | None:
-        """Return what the answer to a question for health amounts to.
+        """Return the announcement that follows from a health answer.
 
-        None when the target is not well, or doesn't say enough of itself.
+        None if the target is not healthy, or if the answer lacks details.
         """
 
 
 class OwnTargetDialect:
-    """The `TargetDialect` of papayabay's own header fields."""
+    """The `TargetDialect` with papayabay's own header fields."""
 
     names = rules.OWN_NAMES
 
     def request_head(self, call, call_token, announcement):
         """Return a call's request line and header fields as bytes."""
-        fields = own_fields(call, call_token)
+        fields = call_fields(call, call_token)
         return encode_head(call, f"Host: {call.service}\r\n", fields)
 
     def is_stray(self, call, fields):
-        """Return False: these targets don't say whom they answer."""
+        """Return False: answers of these targets carry no request id."""
         return False
 
     def classify(self, call, announcement, status, fields):
-        """Return whether the target shed the call, or answered it."""
+        """Return whether the call was shed, refused below or answered."""
         if status == announcement.shed_status:
             return Verdict.SHED
-        if ran_nothing(status, fields):
+        if is_refused_below(status, fields):
             return Verdict.REFUSED_BELOW
         return Verdict.ANSWER
 
     def retry_after_ms(self, fields):
-        """Return when the target says to come back."""
+        """Return the answer's Retry-After in milliseconds; 0 without one."""
         return retry_after_ms(fields)
 
     def idle_seconds(self, fields):
-        """Return what a Keep-Alive field says."""
+        """Return the time-out in a Keep-Alive field, or None."""
         return keep_alive_seconds(fields)
 
     def announcement_from_health(self, target, status, fields):
-        """Return None: these targets only announce themselves."""
+        """Return None: these targets always announce themselves."""
         return None
 
 
-def own_fields(call, call_token):
-    """Return the fields by which a target learns of its call."""
+def call_fields(call, call_token):
+    """Return the header lines that describe a call to the target."""
     return (
         f"Papayabay-Call: {call_token}\r\n"
         f"Papayabay-Request: {call.request_id}\r\n"
@@ -130,12 +133,12 @@
 
 
 def account_line(field, call):
-    """Return the header line that names a call's account, if it has one."""
+    """Return the header line with a call's account; empty without one."""
     return f"{field}: {call.account}\r\n" if call.account else ""
 
 
 def remaining_ms(call):
-    """Return the life left in whole milliseconds; at least 1."""
+    """Return the milliseconds until the call's deadline; at least 1."""
     return max(int(call.remaining() * 1000), 1)
 
 
@@ -146,7 +149,7 @@
     ----------
     call : Call
     first_fields, last_fields : str
-        Header lines before and after those that came with the call.
+        Header lines before and after those of the call itself.
     """
     lines = [f"{call.method} {call.path} HTTP/1.1\r\n", first_fields]
     lines += [f"{name}: {value}\r\n" for name, value in call.headers]
@@ -155,10 +158,10 @@
 
 
 def request_framing(call):
-    """Return the header line that tells where the body ends."""
+    """Return the header line that frames the body; empty if none is needed."""
     if not call.body.whole:
-        sized = rules.declared_length(call.headers) is not None
-        return "" if sized else "Transfer-Encoding: chunked\r\n"
+        has_length = rules.declared_length(call.headers) is not None
+        return "" if has_length else "Transfer-Encoding: chunked\r\n"
     size = len(call.body.first)
     if size or call.method in ("POST", "PUT", "PATCH"):
         return f"Content-Length: {size}\r\n"
@@ -166,7 +169,7 @@
 
 
 def retry_after_ms(fields):
-    """Return when the target says to come back, milliseconds; 0 without."""
+    """Return the Retry-After of an answer in milliseconds; 0 without one."""
     exact = fields.get(RETRY_AFTER_MS_FIELD, b"")
     if exact.isdigit() and len(exact) < MAX_DIGITS:
         return min(int(exact), MAX_RETRY_AFTER_S * 1000)
@@ -178,15 +181,16 @@
 
 def keep_alive_seconds(fields):
     """Return the timeout of a Keep-Alive field in seconds, or None."""
-    found = KEEP_ALIVE_PATTERN.search(fields.get(b"keep-alive", b""))
-    return float(found[1]) if found else None
+    match = KEEP_ALIVE_PATTERN.search(fields.get(b"keep-alive", b""))
+    return float(match[1]) if match else None
 
 
-def ran_nothing(status, fields):
-    """Return whether the target says that it ran nothing.
+def is_refused_below(status, fields):
+    """Return whether the target states that nothing was run.
 
-    A target whose own call was refused before it did anything itself may
-    pass that on. Taken for a target's answer, the refusal would be kept as
-    the final answer of the request's key, and repeating could never help.
+    A target passes on the refusal of a call of its own when it has not done
+    anything itself. If that counted as an answer, it would be stored as the
+    final answer for the request's idempotency key, and a retry would get the
+    same refusal for ever.
     """
     return status >= SERVER_ERROR and fields.get(EFFECT_FIELD) == NOT_RUN
