--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -118,12 +118,12 @@
         try:
             connection = await pool.connect()
         except OSError as error:
-            self.registry.connect_failed(pool.announcement)
+            self.registry.record_connect_failure(pool.announcement)
             # The call that crashed it may have been cancelled before.
             if self.crash_detector.lost:
                 self.crash_detector.probe(pool)
             raise CallError(ErrorKind.TARGET_UNREACHABLE, str(error)) from error
-        self.registry.connected()
+        self.registry.record_connected()
         return connection
 
     async def receive(self, exchange, call, call_token, pool):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/registry.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/registry.py
@@ -1,4 +1,4 @@
-"""Which target stands beside this daemon now."""
+"""Registry of the target that is announced beside this daemon."""
 
 import asyncio
 from collections import OrderedDict
@@ -11,14 +11,17 @@
 log = logbook.Logger("papayabay.target")
 
 MAX_CONNECT_FAILURES = 3
-GONE = float("inf")
-"""Number above all that a process can give its announcements."""
-INCARNATIONS_KEPT = 64
-"""Former processes at this VM whose late announcements are known as such."""
+"""Consecutive failures to connect after which the target is withdrawn."""
+ENDED = float("inf")
+"""Stored as the sequence number of a process whose further announcements are
+all outdated; higher than any number that a process uses."""
+MAX_PROCESSES = 64
+"""Most target processes whose sequence numbers are kept, to recognise their
+late announcements."""
 
 
 class TargetRegistry:
-    """Keeps the target's announcement while its lease holds.
+    """Holds the target's announcement until its lease expires.
 
     Parameters
     ----------
@@ -29,36 +32,41 @@
     ----------
     listeners : list of callable
         Called with the new `Announcement`, or None, at each change.
+    sequences : OrderedDict of tuple to float
+        Highest sequence number by `Announcement.process`.
+    changed : asyncio.Event
+        Set at each change.
     """
 
     def __init__(self, clock=now):
         self.clock = clock
         self.listeners = []
         self.announcement = None
-        self.lease_until = 0.0
+        self.lease_expires_at = 0.0
         self.connect_failures = 0
         self.sequences = OrderedDict()
         self.changed = asyncio.Event()
 
     @property
     def current(self):
-        """The announcement in force, or None."""
-        if self.announcement is not None and self.clock() >= self.lease_until:
-            self.withdraw("its lease ended")
+        """The announcement in force, or None; an expired one is withdrawn."""
+        if self.announcement is not None and self.clock() >= self.lease_expires_at:
+            self.withdraw("its lease expired")
         return self.announcement
 
     def announce(self, announcement):
-        """Take an announcement, or the repetition of one.
+        """Put an announcement in force, or renew the lease of the same one.
 
         Returns
         -------
         bool
-            False for one that was overtaken by a later one of the same
-            process, or that comes after that process said it has gone.
+            False for an outdated announcement, which is ignored: a later one
+            of the same process was received, or the process was marked as
+            draining or replaced.
         """
-        if self.is_late(announcement):
+        if self.is_outdated(announcement):
             log.info(
-                "late announcement {} of {} ignored",
+                "outdated announcement {} of {} ignored",
                 announcement.sequence,
                 announcement.incarnation,
             )
@@ -66,21 +74,24 @@
         moment = self.clock()
         previous = self.current
         if previous is not None and previous.process != announcement.process:
-            # One address has one process, so that the former one has ended;
-            # what it sent before may still come.
-            self.remember(previous.process, GONE)
+            # An address has one process at a time, so the previous one has
+            # ended. Its announcements may still arrive late.
+            self.record_sequence(previous.process, ENDED)
         known = previous is not None and previous.same_process(announcement)
         announcement.announced_at = previous.announced_at if known else moment
         if known:
             announcement.cold_start_ms = previous.cold_start_ms
-        self.lease_until = moment + announcement.lease_ms / 1000
+        self.lease_expires_at = moment + announcement.lease_ms / 1000
         self.connect_failures = 0
         changed = previous is None or not previous.equals_except_sequence(announcement)
         self.announcement = announcement
         if not changed:
             return True
         if known and announcement.draining and not previous.draining:
-            log.notice("target of {} drains", announcement.service)
+            log.notice(
+                "target of {} is draining; sending it no new calls",
+                announcement.service,
+            )
         if not known:
             log.notice(
                 "target of {} announced at {}:{}",
@@ -91,46 +102,46 @@
         self.notify()
         return True
 
-    def is_late(self, announcement):
-        """Note an announcement's number; return whether it was overtaken.
+    def is_outdated(self, announcement):
+        """Return whether an announcement is outdated; else record its number.
 
-        An announcement may be held up on its way for longer than the
-        process lives that sent it. Taken for news, it would put a draining
-        target back to work, or one that has gone in its successor's place;
-        one would see calls fail that another target was there for.
+        An announcement may be delayed for longer than its process lives. If it
+        were accepted, it would end the draining of a target, or displace the
+        process that has taken over the address, and calls would fail.
         """
         if not announcement.sequence:
             return False
-        if self.is_succeeded(announcement):
+        if self.has_newer_process(announcement):
             return True
         newest = self.sequences.get(announcement.process, 0)
         if announcement.sequence <= newest:
             return True
-        self.remember(announcement.process, announcement.sequence)
+        self.record_sequence(announcement.process, announcement.sequence)
         return False
 
-    def is_succeeded(self, announcement):
-        """Whether a process started later, by its word, is in force.
+    def has_newer_process(self, announcement):
+        """Whether the process in force states a later start time.
 
-        Numbers begin anew with each process, and one that this daemon never
-        heard of has none here: only the starts tell that it is the former.
+        Sequence numbers start anew with each process, and none is recorded
+        here for a process that this daemon has not seen. Then only the start
+        times show which process is the older one.
         """
         current = self.current
         if current is None or not announcement.born_ms:
             return False
         return announcement.born_ms < current.born_ms
 
-    def remember(self, process, sequence):
-        """Keep the newest number of a process; the oldest go."""
+    def record_sequence(self, process, sequence):
+        """Record a process's highest number; evicts the oldest records."""
         self.sequences[process] = sequence
         self.sequences.move_to_end(process)
-        if len(self.sequences) > INCARNATIONS_KEPT:
+        if len(self.sequences) > MAX_PROCESSES:
             self.sequences.popitem(last=False)
 
     def mark_draining(self, incarnation, born_ms=0):
-        """Take in that a process takes no new calls, and ends soon.
+        """Record that a process takes no new calls and will end soon.
 
-        It goes on with the calls that it has, and makes calls of its own.
+        It finishes the calls that it has, and may make calls itself.
 
         Parameters
         ----------
@@ -142,16 +153,18 @@
         is_current = current is not None and current.incarnation == incarnation
         if is_current and not born_ms:
             born_ms = current.born_ms
-        self.remember((incarnation, born_ms), GONE)
+        self.record_sequence((incarnation, born_ms), ENDED)
         if not is_current or current.born_ms != born_ms:
             return
         if not current.draining:
-            log.notice("target of {} has gone", current.service)
+            log.notice(
+                "target of {} deregistered; sending it no new calls", current.service
+            )
             self.announcement = replace(current, draining=True)
             self.notify()
 
     def withdraw(self, reason):
-        """Forget the target; nothing is handed over until it announces."""
+        """Remove the target; it gets no calls until it is announced again."""
         if self.announcement is None:
             return
         log.notice("target of {} withdrawn: {}", self.announcement.service, reason)
@@ -159,49 +172,49 @@
         self.notify()
 
     def mark_replaced(self, announcement):
-        """Note that another process answered at the target's address.
+        """Withdraw a target whose address another process has taken over.
 
-        Until that one announces itself, each call would go there, named for
-        a process that has ended, and be refused.
+        Until the new process announces itself, calls would be addressed to
+        the process that has ended, and the new one would refuse them all.
         """
         if self.announcement is announcement:
-            self.remember(announcement.process, GONE)
+            self.record_sequence(announcement.process, ENDED)
             self.withdraw("another process answers at its address")
 
-    def connected(self):
-        """Note that the target took a connection."""
+    def record_connected(self):
+        """Reset the count of failures after a successful connect."""
         self.connect_failures = 0
 
-    def connect_failed(self, announcement):
-        """Note a failure to connect.
+    def record_connect_failure(self, announcement):
+        """Count a failure to connect; withdraw the target after several.
 
-        A target whose process dies can't withdraw. Its port then refuses
-        each connection, and without this rule every call that comes would
-        fail here until the lease ends.
+        A target whose process is killed can't withdraw itself. Its port then
+        refuses connections, and all calls would fail here until the lease
+        expires.
         """
         if self.announcement is not announcement:
             return
         self.connect_failures += 1
         if self.connect_failures >= MAX_CONNECT_FAILURES:
-            self.withdraw("it refuses connections")
+            self.withdraw("connection attempts failed")
 
     def notify(self):
-        """Tell the listeners."""
+        """Call the listeners with the announcement in force."""
         self.changed.set()
         for listener in self.listeners:
             listener(self.announcement)
 
     async def watch(self):
-        """Withdraw the target when its lease ends; runs until cancelled."""
+        """Withdraw the target when its lease expires; runs until cancelled."""
         while True:
             self.changed.clear()
-            pause = None
+            timeout = None
             if self.current is not None:
-                pause = max(self.lease_until - self.clock(), 0.0)
-            # Not by `asyncio.wait_for`: in Python 3.11 it drops a cancellation
-            # that comes together with the event, and the daemon never ends.
+                timeout = max(self.lease_expires_at - self.clock(), 0.0)
+            # Not `asyncio.wait_for`: in Python 3.11 it drops a cancellation
+            # that arrives together with the event, and the daemon never exits.
             try:
-                async with asyncio.timeout(pause):
+                async with asyncio.timeout(timeout):
                     await self.changed.wait()
             except TimeoutError:
                 continue
--- a/tests/unit/daemon/test_target_registry.py
+++ b/tests/unit/daemon/test_target_registry.py
@@ -58,11 +58,11 @@
         self.registry.announce(announcement())
         current = self.registry.current
         for _ in range(MAX_CONNECT_FAILURES - 1):
-            self.registry.connect_failed(current)
-        self.registry.connected()
+            self.registry.record_connect_failure(current)
+        self.registry.record_connected()
         for _ in range(MAX_CONNECT_FAILURES):
             self.assertIsNotNone(self.registry.current)
-            self.registry.connect_failed(current)
+            self.registry.record_connect_failure(current)
         self.assertIsNone(self.registry.current)
 
     def test_overtaken_announcements_change_nothing(self):
@@ -149,7 +149,7 @@
         older = self.registry.current
         self.registry.announce(announcement(incarnation="b"))
         for _ in range(MAX_CONNECT_FAILURES):
-            self.registry.connect_failed(older)
+            self.registry.record_connect_failure(older)
         self.assertIsNotNone(self.registry.current)
 
 
