--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/crash_detector.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/crash_detector.py
@@ -101,7 +101,7 @@
         while self.lost and at - self.lost[0][0] > IN_FLIGHT_GRACE_S:
             self.lost.popleft()
         digest = self.fingerprints.of(call)
-        lost = InFlightCall(call.request_id, call.path_key, digest, exchange.begun)
+        lost = InFlightCall(call.request_id, call.path_key, digest, exchange.started_at)
         self.lost.append((at, exchange.pool, lost))
 
     def answered(self, call):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request and its answer on one connection to the target."""
+"""One HTTP/1.1 request and its answer on a connection to the target."""
 
 import asyncio
 
@@ -10,31 +10,43 @@
 from papayabay_daemon._internal.doors.streaming import write_body
 from papayabay_daemon._internal.lifetime.timeouts import LifeTimeout
 
-PART_BYTES = 65_536
+CHUNK_BYTES = 65_536
 
 
 class Exchange:
-    """A request on its way on a connection of its own.
+    """A request and its answer, on a connection used by no other call.
 
     Parameters
     ----------
     pool : TargetPool
-        Gets the connection back.
+        The connection is returned to it.
     connection : ClientConnection
     limits : LimitSettings
 
     Attributes
     ----------
-    begun : float
-        When it was made, on `clock.now()`.
+    started_at : float
+        When the exchange was created, on `clock.now()`.
+    message : Message or None
+        The answer received last.
+    upload : asyncio.Task or None
+        Writes a streamed request body.
     ended : bool
-        Whether the connection was given back or closed.
+        Whether the connection was returned to the pool or closed.
     """
 
-    __slots__ = ("begun", "connection", "ended", "limits", "message", "pool", "upload")
+    __slots__ = (
+        "connection",
+        "ended",
+        "limits",
+        "message",
+        "pool",
+        "started_at",
+        "upload",
+    )
 
     def __init__(self, pool, connection, limits):
-        self.begun = now()
+        self.started_at = now()
         self.pool = pool
         self.connection = connection
         self.limits = limits
@@ -43,7 +55,7 @@
         self.ended = False
 
     def send(self, call, head):
-        """Write a call; large bodies go on being written by a task.
+        """Write a request; a streamed body is written by a task.
 
         Parameters
         ----------
@@ -59,17 +71,17 @@
             self.upload = asyncio.create_task(self.send_body(call))
 
     async def send_body(self, call):
-        """Write a streamed body; its failure fails the exchange."""
+        """Write a streamed body; an error fails the exchange."""
         length = rules.declared_length(call.headers)
         writer = BodyWriter(self.connection, chunked=length is None)
         try:
             await write_body(writer, call.body, length)
         except Exception as error:
-            # Nobody awaits this task. Without passing its error on, the
-            # target would wait for the body and the caller for the answer
-            # until the call's life ends. It becomes an error of the payload:
-            # what the body's source says (say, "too large: not run") is not
-            # true of a request that was partly handed over.
+            # Nobody awaits this task. Unless its error is passed on, the
+            # target waits for the body and the caller for the answer until
+            # the call's deadline. The error is wrapped, as an error of the
+            # body's source (for example "too large: not run") does not hold
+            # for a request that was sent in part.
             broken = PayloadBroken(f"the request's body broke off: {error!r}")
             self.connection.fail(broken)
             self.connection.abort()
@@ -80,25 +92,25 @@
         return self.message
 
     async def skip(self):
-        """Read an answer to its end that belongs to no request here.
+        """Read and drop the body of an answer to another request.
 
         Raises
         ------
         PayloadBroken
-            When it is longer than any that is read whole.
+            If the body is longer than `inline_body_bytes`.
         """
         payload = self.message.payload
-        while await payload.read(PART_BYTES):
+        while await payload.read(CHUNK_BYTES):
             if payload.total > self.limits.inline_body_bytes:
                 raise PayloadBroken("a stray answer is too long to skip")
 
-    def body(self, expires_after):
-        """Return the answer's body; a large one as a stream.
+    def body(self, remaining):
+        """Return the answer's body; a large one is streamed.
 
         Parameters
         ----------
-        expires_after : callable
-            Returns the seconds of life left.
+        remaining : callable
+            Returns the seconds until the call's deadline.
         """
         payload = self.message.payload
         if payload.complete and payload.size <= self.limits.inline_body_bytes:
@@ -106,12 +118,12 @@
             self.finish()
             return body
         first = payload.take_all()
-        return Body(first, AnswerStream(self, expires_after))
+        return Body(first, AnswerStream(self, remaining))
 
     def discard(self):
-        """Leave the answer's body unread; keep the connection if possible.
+        """Drop the answer's body; keep the connection if the body has arrived.
 
-        A target sheds when it is overloaded, and a new connection for each
+        A target sheds when it is overloaded. A new connection after each
         refusal would cost it more than the refusal itself.
         """
         if self.message.payload.complete:
@@ -120,7 +132,7 @@
             self.abort()
 
     def finish(self):
-        """Give the connection back, if the whole request was written."""
+        """Return the connection to the pool; close it during an upload."""
         if self.upload is not None and not self.upload.done():
             self.abort()
         elif not self.ended:
@@ -128,9 +140,9 @@
             self.pool.release(self.connection)
 
     def abort(self):
-        """Close the connection unless it was given back before.
+        """Close the connection unless it was returned to the pool.
 
-        The target sees its caller gone.
+        To the target, this shows that its caller has disconnected.
         """
         if self.upload is not None:
             self.upload.cancel()
@@ -140,18 +152,23 @@
 
 
 class AnswerStream:
-    """The parts of a large answer after the first.
+    """Async iterator over the rest of a streamed answer's body.
 
     Parameters
     ----------
     exchange : Exchange
-    expires_after : callable
-        Returns the seconds of life left.
+    remaining : callable
+        Returns the seconds until the call's deadline.
+
+    Attributes
+    ----------
+    on_end : callable or None
+        Called once at the end, with whether the body was complete.
     """
 
-    def __init__(self, exchange, expires_after):
+    def __init__(self, exchange, remaining):
         self.exchange = exchange
-        self.expires_after = expires_after
+        self.remaining = remaining
         self.on_end = None
         self.ended = False
 
@@ -160,45 +177,45 @@
         return self
 
     async def __anext__(self):
-        """Return the next part.
+        """Return the next chunk.
 
         Raises
         ------
         TimeoutError
-            When the call's life ended.
+            When the call's deadline is exceeded.
         PayloadBroken
-            When the target broke off.
+            When the target broke off the answer.
         """
         if self.ended:
             raise StopAsyncIteration
         try:
-            with LifeTimeout(self.expires_after()):
-                part = await self.exchange.message.payload.read(PART_BYTES)
+            with LifeTimeout(self.remaining()):
+                chunk = await self.exchange.message.payload.read(CHUNK_BYTES)
         except BaseException:
-            self.end(whole=False)
+            self.end(complete=False)
             raise
-        if not part:
-            self.end(whole=True)
+        if not chunk:
+            self.end(complete=True)
             raise StopAsyncIteration
-        return part
+        return chunk
 
     async def aclose(self):
-        """Break off unless the end was reached."""
-        self.end(whole=False)
+        """Close the connection unless the body was read to its end."""
+        self.end(complete=False)
 
-    def end(self, whole):
-        """Release or close the connection, once."""
+    def end(self, complete):
+        """Return or close the connection, at the first call only."""
         if self.ended:
             return
         self.ended = True
-        if whole:
+        if complete:
             self.exchange.finish()
         else:
             self.exchange.abort()
         if self.on_end is not None:
-            self.on_end(whole)
+            self.on_end(complete)
 
     def __del__(self):
-        # A stream that nobody reads or closes would hold its connection,
-        # one of the few that the target takes, for good.
-        self.end(whole=False)
+        # A stream that is neither read nor closed would leak its connection,
+        # and the target accepts only a few.
+        self.end(complete=False)
