--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -57,7 +57,7 @@
         if announcement is None or announcement.service != call.service:
             raise CallError(ErrorKind.TARGET_UNREACHABLE, "no target is announced")
         pool = self.pool_of(announcement)
-        pool.enter()
+        pool.add_user()
         streams = False
         try:
             answer = await self.run_in_life(call, call_token, pool)
@@ -65,7 +65,7 @@
             return answer
         finally:
             if not streams:
-                pool.leave()
+                pool.remove_user()
 
     def pool_of(self, announcement):
         """Return the connections to the announced target."""
@@ -137,7 +137,7 @@
         """
         message = await self.receive_own(exchange, call)
         status, fields = message.status, message.head.first
-        pool.note_idle(self.dialect.idle_seconds(fields))
+        pool.set_idle_timeout(self.dialect.idle_seconds(fields))
         verdict = self.dialect.classify(call, pool.announcement, status, fields)
         if verdict in REFUSALS:
             exchange.discard()
@@ -183,7 +183,7 @@
         def ended(whole):
             if loop.is_closed():
                 return
-            pool.leave()
+            pool.remove_user()
             if whole:
                 self.crash_detector.answered(call)
             else:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/crash_detector.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/crash_detector.py
@@ -119,10 +119,10 @@
         """Report a crash unless the target still accepts connections."""
         for delay in PROBE_DELAYS_S:
             await asyncio.sleep(delay)
-            if pool.closed or pool.lives:
+            if pool.closed or pool.has_open_connection:
                 return
             try:
-                await pool.prove()
+                await pool.check_connect()
             except ConnectionRefusedError:
                 self.report_crash(pool)
                 await asyncio.sleep(PROPAGATION_DELAY_S)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/pool.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/pool.py
@@ -1,4 +1,4 @@
-"""Connections to one announced target."""
+"""Connection pool of one announced target."""
 
 import asyncio
 from collections import deque
@@ -9,12 +9,12 @@
 CONNECT_SECONDS = 1.0
 KEEP_ALIVE_SECONDS = 30.0
 IDLE_MARGIN_SECONDS = 0.5
-"""How long before a target closes an idle connection it is no longer used;
-beyond any delay on the way to it, as it stands beside this daemon."""
+"""How long before the target closes an idle connection it is no longer used.
+Well above any delay on loopback, where requests could cross the close."""
 
 
 class TargetPool:
-    """The connections that the target beside this daemon takes.
+    """Connections to the target beside this daemon.
 
     Parameters
     ----------
@@ -24,18 +24,22 @@
     Attributes
     ----------
     users : int
-        Calls under way, streamed answers that are still read included.
+        Calls in flight, including those whose answer is still streamed.
+    idle_seconds : float
+        How long an idle connection may be used again.
     open : set of ClientConnection
-        All connections, those in use too.
+        All connections, in use or idle.
     idle : list of ClientConnection
-        The latest used last; taken from there, so that few are kept busy
-        and the others end unused.
-    dialling : int
-        Connections that are being made.
+        The one used last is at the end and taken first, so that connections
+        beyond the need stay idle and expire.
+    connecting : int
+        Connection attempts in progress.
     waiters : deque of asyncio.Future
-        Calls that wait for a connection, in the order of their coming.
+        Calls that wait for a connection, in order of arrival.
+    retired : bool
+        Whether the pool closes after its last user.
     closed : bool
-        Whether it has ended, with all its connections.
+        Whether the pool and all its connections are closed.
     """
 
     def __init__(self, announcement, limits):
@@ -45,55 +49,55 @@
         self.idle_seconds = KEEP_ALIVE_SECONDS
         self.open = set()
         self.idle = []
-        self.dialling = 0
+        self.connecting = 0
         self.waiters = deque()
         self.retired = False
         self.closed = False
 
     def serves(self, announcement):
-        """Whether the pool fits an announcement."""
-        mine = self.announcement
-        same = mine.same_process(announcement)
-        return same and mine.connections == announcement.connections
+        """Whether the pool can serve calls under an announcement."""
+        own = self.announcement
+        same = own.same_process(announcement)
+        return same and own.connections == announcement.connections
 
     @property
-    def lives(self):
-        """Whether the target holds any connection open."""
+    def has_open_connection(self):
+        """Whether the target keeps any connection open."""
         return any(not connection.closed for connection in self.open)
 
-    async def prove(self):
-        """Make a connection, if only to see that the target takes one.
+    async def check_connect(self):
+        """Open a connection to check that the target accepts one.
 
         Raises
         ------
         OSError
-            `ConnectionRefusedError` where nothing listens any more.
+            `ConnectionRefusedError` if nothing listens any more.
         """
-        self.release(await self.dial())
+        self.release(await self.open_connection())
 
     async def connect(self):
-        """Return a connection that nobody else uses; waits for one.
+        """Return a connection for exclusive use; waits until one is free.
 
         Raises
         ------
         OSError
-            When none could be made; nothing was sent.
+            If no connection could be opened; nothing was sent.
         """
         while True:
             connection = self.take_idle()
             if connection is not None:
                 return connection
-            if len(self.open) + self.dialling < self.announcement.connections:
-                return await self.dial()
+            if len(self.open) + self.connecting < self.announcement.connections:
+                return await self.open_connection()
             await self.wait()
 
     def take_idle(self):
-        """Return the connection used last, or None.
+        """Return the idle connection used last, or None.
 
-        A request that crosses the target's closing of an idle connection may
-        have been read or not; one that must run at most once could then
-        neither be repeated nor answered. So those that the target is about
-        to close are closed here.
+        If a request crosses the target's close of an idle connection, nothing
+        shows whether the target read it, and a call that must run at most once
+        could be neither retried nor answered. So connections that the target
+        is about to close are closed here.
         """
         while self.idle:
             connection = self.idle.pop()
@@ -104,26 +108,26 @@
             connection.abort()
         return None
 
-    async def dial(self):
+    async def open_connection(self):
         """Return a new connection."""
         loop = asyncio.get_running_loop()
         announcement = self.announcement
-        self.dialling += 1
+        self.connecting += 1
         try:
             async with asyncio.timeout(CONNECT_SECONDS):
                 _, connection = await loop.create_connection(
-                    lambda: ClientConnection(self.limits, self.lost),
+                    lambda: ClientConnection(self.limits, self.remove),
                     announcement.host,
                     announcement.port,
                 )
         except TimeoutError:
             raise ConnectionError("the target takes no connection") from None
         finally:
-            self.dialling -= 1
-            self.wake_one()
+            self.connecting -= 1
+            self.wake_next_waiter()
         if connection.closed:
-            # It has told so already; counted as open, it would take one of
-            # the target's connections for good.
+            # `remove` was called already. If the connection were added now, it
+            # would count against the target's limit for good.
             raise ConnectionResetError("the target closed the connection at once")
         self.open.add(connection)
         return connection
@@ -135,14 +139,15 @@
         try:
             await waiter
         except asyncio.CancelledError:
-            # Woken and cancelled in one turn: the next in line would wait
-            # for a connection that nobody uses.
+            # If this task was woken and cancelled in the same turn of the
+            # event loop, the wake-up passes to the next waiter. Otherwise a
+            # free connection would stay unused while that one waits.
             if waiter.done() and not waiter.cancelled():
-                self.wake_one()
+                self.wake_next_waiter()
             raise
 
-    def wake_one(self):
-        """Let the first that waits look again."""
+    def wake_next_waiter(self):
+        """Let the first waiter try again."""
         while self.waiters:
             waiter = self.waiters.popleft()
             if not waiter.done():
@@ -152,8 +157,8 @@
     def release(self, connection):
         """Take a connection back after its answer was read to its end.
 
-        Bytes beyond the answer belong to no request. They would be read as
-        the answer to the next one, so that such a connection is closed.
+        A connection on which bytes follow the answer is closed: they would be
+        read as the answer to the next request.
         """
         connection.busy = False
         if not connection.reusable or self.closed:
@@ -161,32 +166,35 @@
             return
         connection.used_at = now()
         self.idle.append(connection)
-        self.wake_one()
+        self.wake_next_waiter()
 
-    def lost(self, connection):
-        """Forget a connection that has ended."""
+    def remove(self, connection):
+        """Remove a connection that was closed."""
         self.open.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
-        self.wake_one()
+        self.wake_next_waiter()
 
-    def note_idle(self, idle_seconds):
-        """Note how long the target keeps an idle connection, if it says."""
+    def set_idle_timeout(self, idle_seconds):
+        """Set how long idle connections are used from the target's time-out.
+
+        None, from a target that states no time-out, changes nothing.
+        """
         if idle_seconds is not None:
-            spare = max(0.0, idle_seconds - IDLE_MARGIN_SECONDS)
-            self.idle_seconds = min(KEEP_ALIVE_SECONDS, spare)
+            usable = max(0.0, idle_seconds - IDLE_MARGIN_SECONDS)
+            self.idle_seconds = min(KEEP_ALIVE_SECONDS, usable)
 
-    def enter(self):
-        """Count a user."""
+    def add_user(self):
+        """Count a call as a user of the pool."""
         self.users += 1
 
-    def leave(self):
-        """Count a user off; the last one closes a retired pool."""
+    def remove_user(self):
+        """Remove a user; closes a retired pool after the last one."""
         self.users -= 1
         self.close_if_unused()
 
     def retire(self):
-        """Close as soon as the calls under way are done."""
+        """Close the pool once the calls in flight are done."""
         self.retired = True
         self.close_if_unused()
 
@@ -196,7 +204,7 @@
             self.close()
 
     def close(self):
-        """Close all connections, those in use too."""
+        """Close all connections, including those in use."""
         self.closed = True
         for connection in list(self.open):
             connection.abort()
--- a/tests/unit/daemon/test_target_client.py
+++ b/tests/unit/daemon/test_target_client.py
@@ -121,7 +121,7 @@
             for _ in range(4):
                 with self.assertRaises(ConnectionResetError):
                     await bounded(pool.connect())
-        self.assertEqual((len(pool.open), pool.dialling), (0, 0))
+        self.assertEqual((len(pool.open), pool.connecting), (0, 0))
 
     async def test_new_incarnation_does_not_cut_off_calls_under_way(self):
         go = asyncio.Event()
