--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -120,7 +120,7 @@
         except OSError as error:
             self.registry.record_connect_failure(pool.announcement)
             # The call that crashed it may have been cancelled before.
-            if self.crash_detector.lost:
+            if self.crash_detector.lost_calls:
                 self.crash_detector.probe(pool)
             raise CallError(ErrorKind.TARGET_UNREACHABLE, str(error)) from error
         self.registry.record_connected()
@@ -157,7 +157,7 @@
         # Without a length, an answer ends with its connection: so does one
         # that a target gives while it ends.
         if message.head.is_framed or not exchange.connection.closed:
-            self.crash_detector.answered(call)
+            self.crash_detector.record_answer(call)
         if call.method != "HEAD" and status != NOT_MODIFIED:
             headers = without(headers, "content-length")
         return Answer(status, headers, body)
@@ -185,9 +185,9 @@
                 return
             pool.remove_user()
             if whole:
-                self.crash_detector.answered(call)
+                self.crash_detector.record_answer(call)
             else:
-                self.crash_detector.call_lost(call, stream.exchange)
+                self.crash_detector.record_lost_call(call, stream.exchange)
                 self.crash_detector.probe(pool)
                 self.notices.post(pool.announcement, call_token)
 
@@ -199,13 +199,13 @@
         The call may be retried elsewhere at once. By then other daemons should
         know of a crash and its suspects.
         """
-        self.crash_detector.call_lost(call, exchange)
+        self.crash_detector.record_lost_call(call, exchange)
         await asyncio.wait({self.crash_detector.probe(exchange.pool)})
 
     def give_up(self, exchange, call, call_token):
         """Close the connection and tell the target why, if it listens."""
         exchange.abort()
-        self.crash_detector.call_lost(call, exchange)
+        self.crash_detector.record_lost_call(call, exchange)
         self.notices.post(exchange.pool.announcement, call_token)
 
     async def close(self):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/crash_detector.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/crash_detector.py
@@ -10,14 +10,14 @@
 from papayabay_core.utils.clock import now
 
 PROBE_DELAYS_S = (0.01, 0.09)
-"""Delays before each connection attempt. Connections of a crashed process
-close one by one, its listening socket possibly last."""
+"""Delay before each connection attempt of a probe. The connections of a
+crashed process are closed one by one, its listening socket possibly last."""
 PROPAGATION_DELAY_S = 0.01
-"""How long the calls that a crash has cut wait, so that other daemons know of
-it before they are retried there."""
+"""Delay before calls cut off by a crash may be retried, so that other daemons
+learn of the crash first."""
 IN_FLIGHT_GRACE_S = 0.5
-"""How long before a crash a call may have been lost or cancelled and still
-count as in flight."""
+"""A call that was lost or cancelled less than this before a crash counts as in
+flight."""
 MAX_LOST_CALLS = 1_024
 MAX_LOGGED_CALLS = 24
 log = logbook.Logger("papayabay.target")
@@ -33,7 +33,7 @@
     path_key : str
     fingerprint : bytes
     started_at : float
-        When it was handed to the target, on `clock.now()`.
+        When it was sent to the target, on `clock.now()`.
     """
 
     request_id: str
@@ -62,8 +62,8 @@
 class CrashDetector:
     """Finds out whether a target that broke off a call has crashed.
 
-    A reset connection or a lost answer does not show that. A crash does by
-    all connections closed and a new one refused.
+    A connection reset or a lost answer alone does not show a crash. The target
+    has crashed if all its connections are closed and a new one is refused.
 
     Parameters
     ----------
@@ -73,47 +73,51 @@
 
     Attributes
     ----------
+    lost_calls : deque of (float, TargetPool, InFlightCall)
+        Calls lost or cancelled recently, with the time of the loss.
+    probe_task : asyncio.Task or None
+        The latest probe.
     listeners : list of callable
         Called with each `TargetCrash`.
     answer_listeners : list of callable
-        Called with each call that got a whole answer.
+        Called with each call that got a complete answer.
     """
 
     def __init__(self, fingerprints, clock=now):
         self.fingerprints = fingerprints
         self.clock = clock
-        self.lost = deque(maxlen=MAX_LOST_CALLS)
-        self.probing = None
+        self.lost_calls = deque(maxlen=MAX_LOST_CALLS)
+        self.probe_task = None
         self.listeners = []
         self.answer_listeners = []
         self.counters = {"ends": 0, "ended_calls": 0}
 
-    def call_lost(self, call, exchange):
+    def record_lost_call(self, call, exchange):
         """Record a call that broke off or was cancelled before its answer.
 
         Parameters
         ----------
         call : Call
         exchange : Exchange
-            By which it was handed over.
+            The exchange that carried it.
         """
-        at = self.clock()
-        while self.lost and at - self.lost[0][0] > IN_FLIGHT_GRACE_S:
-            self.lost.popleft()
+        lost_at = self.clock()
+        while self.lost_calls and lost_at - self.lost_calls[0][0] > IN_FLIGHT_GRACE_S:
+            self.lost_calls.popleft()
         digest = self.fingerprints.of(call)
         lost = InFlightCall(call.request_id, call.path_key, digest, exchange.started_at)
-        self.lost.append((at, exchange.pool, lost))
+        self.lost_calls.append((lost_at, exchange.pool, lost))
 
-    def answered(self, call):
-        """Report a whole answer, which shows that its call crashed nothing."""
+    def record_answer(self, call):
+        """Report a complete answer; its call did not crash the target."""
         for listener in self.answer_listeners:
             listener(call)
 
     def probe(self, pool):
         """Start a probe of the target unless one runs; return its task."""
-        if self.probing is None or self.probing.done():
-            self.probing = asyncio.create_task(self.run_probe(pool))
-        return self.probing
+        if self.probe_task is None or self.probe_task.done():
+            self.probe_task = asyncio.create_task(self.run_probe(pool))
+        return self.probe_task
 
     async def run_probe(self, pool):
         """Report a crash unless the target still accepts connections."""
@@ -128,21 +132,23 @@
                 await asyncio.sleep(PROPAGATION_DELAY_S)
                 return
             except OSError as error:
-                log.info("probe of the target failed: {!r}; probing again", error)
+                log.info("probe of the target failed: {!r}; no crash assumed", error)
             else:
                 return
 
     def report_crash(self, pool):
         """Report a crash and the calls that were in flight.
 
-        A target that was draining was stopped on purpose; the calls that this
-        cut are not suspects.
+        A target that was draining was stopped on purpose. The calls cut off by
+        that are not suspects.
         """
         oldest = self.clock() - IN_FLIGHT_GRACE_S
         calls = [
-            call for at, owner, call in self.lost if owner is pool and at >= oldest
+            call
+            for lost_at, call_pool, call in self.lost_calls
+            if call_pool is pool and lost_at >= oldest
         ]
-        self.lost.clear()
+        self.lost_calls.clear()
         announcement = pool.announcement
         if announcement.draining or not calls:
             return
@@ -160,9 +166,9 @@
             listener(crash)
 
     def close(self):
-        """Cancel a probe that runs."""
-        if self.probing is not None:
-            self.probing.cancel()
+        """Cancel a running probe."""
+        if self.probe_task is not None:
+            self.probe_task.cancel()
 
 
 def describe(call):
--- a/tests/unit/daemon/test_crash_detector.py
+++ b/tests/unit/daemon/test_crash_detector.py
@@ -54,7 +54,7 @@
         waiting = await self.fail_beside("/deadly")
         with self.assertRaisesRegex(Exception, "TARGET_LOST"):
             await bounded(waiting)
-        await bounded(self.client.crash_detector.probing)
+        await bounded(self.client.crash_detector.probe_task)
         (end,) = self.ends
         self.assertEqual((end.process, end.service), (("p1", 0), "svc"))
         made = Fingerprints(settings(inline_body_bytes=1024))
@@ -80,26 +80,26 @@
         await asyncio.gather(waiting, return_exceptions=True)
         self.dying.target.server.close()
         await self.fails(ErrorKind.TARGET_UNREACHABLE, call(path="/next"))
-        await bounded(self.client.crash_detector.probing)
+        await bounded(self.client.crash_detector.probe_task)
         (end,) = self.ends
         self.assertEqual(len(end.calls), 1)
 
     async def test_a_lost_answer_is_no_end(self):
         waiting = await self.fail_beside("/lost")
-        await bounded(self.client.crash_detector.probing)
+        await bounded(self.client.crash_detector.probe_task)
         self.assertEqual(self.ends, [])
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
 
     async def test_a_lost_answer_on_the_only_connection_is_no_end(self):
         await self.fails(ErrorKind.TARGET_LOST, call(path="/lost"))
-        await bounded(self.client.crash_detector.probing)
+        await bounded(self.client.crash_detector.probe_task)
         self.assertEqual(self.ends, [])
 
     async def test_a_target_that_leaves_ends_as_it_was_meant_to(self):
         self.announce(self.dying.target.port, incarnation="p1", draining=True)
         await self.fails(ErrorKind.TARGET_LOST, call(path="/deadly"))
-        await bounded(self.client.crash_detector.probing)
+        await bounded(self.client.crash_detector.probe_task)
         self.assertEqual(self.ends, [])
 
 
