--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -1,4 +1,4 @@
-"""Hands admitted calls to the target over loopback HTTP."""
+"""HTTP client that sends admitted calls to the target over loopback."""
 
 import asyncio
 
@@ -21,12 +21,12 @@
     Verdict.REFUSED_BELOW: ErrorKind.REFUSED_BELOW,
 }
 MAX_STRAY_ANSWERS = 4
-"""Answers to other requests that are skipped on one connection; a target that
-sends more is out of step for good."""
+"""Most answers to other requests that are skipped before a call fails; a
+target that sends more will not get back in step on this connection."""
 
 
 class HttpTargetClient:
-    """The `TargetClient` of the daemon.
+    """The `TargetClient` that the daemon uses.
 
     Parameters
     ----------
@@ -45,30 +45,33 @@
         self.crash_detector = CrashDetector(Fingerprints(settings))
 
     async def run(self, call, call_token):
-        """Hand a call over and return the target's answer.
+        """Send a call to the target and return its answer.
 
         Raises
         ------
         CallError
-            TARGET_UNREACHABLE, TARGET_SHED or EXPIRED_UNSENT: not run.
-            TARGET_LOST or EXPIRED: unknown.
+            TARGET_UNREACHABLE, EXPIRED_UNSENT, or one of `REFUSALS`: the call
+            was not run. TARGET_LOST or EXPIRED: it may have been run.
         """
         announcement = self.registry.current
         if announcement is None or announcement.service != call.service:
             raise CallError(ErrorKind.TARGET_UNREACHABLE, "no target is announced")
-        pool = self.pool_of(announcement)
+        pool = self.pool_for(announcement)
         pool.add_user()
-        streams = False
+        is_streamed = False
         try:
-            answer = await self.run_in_life(call, call_token, pool)
-            streams = not answer.body.whole
+            answer = await self.run_before_deadline(call, call_token, pool)
+            is_streamed = not answer.body.whole
             return answer
         finally:
-            if not streams:
+            if not is_streamed:
                 pool.remove_user()
 
-    def pool_of(self, announcement):
-        """Return the connections to the announced target."""
+    def pool_for(self, announcement):
+        """Return the connection pool of the announced target.
+
+        The pool of a former process is closed once its calls are done.
+        """
         pool = self.pool
         if pool is not None and pool.serves(announcement):
             pool.announcement = announcement
@@ -78,8 +81,8 @@
             pool.retire()
         return self.pool
 
-    async def run_in_life(self, call, call_token, pool):
-        """Run a call, for as long as it may live."""
+    async def run_before_deadline(self, call, call_token, pool):
+        """Run a call; raises `CallError` when its lifetime ends."""
         remaining = call.remaining()
         if remaining <= 0:
             raise CallError(ErrorKind.EXPIRED_UNSENT)
@@ -94,32 +97,32 @@
         except TimeoutError:
             if exchange is None:
                 raise CallError(ErrorKind.EXPIRED_UNSENT) from None
-            self.give_up(exchange, call, call_token)
+            self.cancel(exchange, call, call_token)
             raise CallError(ErrorKind.EXPIRED) from None
         except asyncio.CancelledError:
             if exchange is not None:
-                self.give_up(exchange, call, call_token)
+                self.cancel(exchange, call, call_token)
             raise
         except CallError:
             if exchange is not None:
                 exchange.abort()
             raise
         except Exception as error:
-            # From the first byte on, the target may have acted on the
-            # request, also when an idle connection turns out to be closed:
-            # whether it read the bytes before can't be known.
+            # Once a byte was written, the target may have acted on the
+            # request. That holds also if a kept connection turns out to be
+            # closed: nothing shows whether the target read the bytes before.
             if exchange is not None:
                 exchange.abort()
-                await self.call_broke_off(exchange, call)
+                await self.record_lost_call(exchange, call)
             raise CallError(ErrorKind.TARGET_LOST, repr(error)) from error
 
     async def connect(self, pool):
-        """Return a connection, and let the registry know how it went."""
+        """Return a connection, and report the outcome to the registry."""
         try:
             connection = await pool.connect()
         except OSError as error:
             self.registry.record_connect_failure(pool.announcement)
-            # The call that crashed it may have been cancelled before.
+            # A crash may be due to a call that was cancelled before it.
             if self.crash_detector.lost_calls:
                 self.crash_detector.probe(pool)
             raise CallError(ErrorKind.TARGET_UNREACHABLE, str(error)) from error
@@ -132,10 +135,9 @@
         Raises
         ------
         CallError
-            TARGET_SHED, TARGET_REJECTED or REFUSED_BELOW, not run;
-            TARGET_LOST.
+            One of `REFUSALS`: the call was not run. TARGET_LOST.
         """
-        message = await self.receive_own(exchange, call)
+        message = await self.receive_matching(exchange, call)
         status, fields = message.status, message.head.first
         pool.set_idle_timeout(self.dialect.idle_seconds(fields))
         verdict = self.dialect.classify(call, pool.announcement, status, fields)
@@ -143,31 +145,31 @@
             exchange.discard()
             if verdict is Verdict.REPLACED:
                 self.registry.mark_replaced(pool.announcement)
-            pause = self.dialect.retry_after_ms(fields)
-            raise CallError(REFUSALS[verdict], retry_after_ms=pause)
+            retry_after_ms = self.dialect.retry_after_ms(fields)
+            raise CallError(REFUSALS[verdict], retry_after_ms=retry_after_ms)
         if verdict is Verdict.UNVERIFIED:
             raise CallError(ErrorKind.TARGET_LOST, f"a {status} that can't be its own")
-        # Decoded before the body, so that a field that can't travel on ends
-        # the call at once.
+        # Header fields are decoded before the body is read, so that a field
+        # that can't be forwarded fails the call at once.
         headers = end_to_end(message.head.fields, self.dialect.names).kept
         body = exchange.body(call.remaining)
         if not body.whole:
-            self.follow(body.rest, call, call_token, pool)
+            self.watch_stream(body.rest, call, call_token, pool)
             return Answer(status, headers, body)
-        # Without a length, an answer ends with its connection: so does one
-        # that a target gives while it ends.
+        # An answer without a length ends when the connection closes. The close
+        # may be due to a crash, so such an answer is not recorded.
         if message.head.is_framed or not exchange.connection.closed:
             self.crash_detector.record_answer(call)
         if call.method != "HEAD" and status != NOT_MODIFIED:
             headers = without(headers, "content-length")
         return Answer(status, headers, body)
 
-    async def receive_own(self, exchange, call):
-        """Return the answer to this very request.
+    async def receive_matching(self, exchange, call):
+        """Return the answer to this request, and skip those to others.
 
-        A target may send a second answer to an earlier request when that
-        one has long ended, and the connection serves another. Taken for the
-        next answer, it would go to the wrong caller.
+        A target may send a second answer to an earlier request after that
+        request has ended, when the connection serves another one. Unless it
+        is skipped, the wrong caller gets it.
         """
         for _ in range(MAX_STRAY_ANSWERS):
             message = await exchange.receive()
@@ -176,24 +178,24 @@
             await exchange.skip()
         raise CallError(ErrorKind.TARGET_LOST, "answers to other requests only")
 
-    def follow(self, stream, call, call_token, pool):
-        """Keep the pool until a streamed answer ends."""
+    def watch_stream(self, stream, call, call_token, pool):
+        """Count as a user of the pool until a streamed answer ends."""
         loop = asyncio.get_running_loop()
 
-        def ended(whole):
+        def on_end(complete):
             if loop.is_closed():
                 return
             pool.remove_user()
-            if whole:
+            if complete:
                 self.crash_detector.record_answer(call)
             else:
                 self.crash_detector.record_lost_call(call, stream.exchange)
                 self.crash_detector.probe(pool)
                 self.notices.post(pool.announcement, call_token)
 
-        stream.on_end = ended
+        stream.on_end = on_end
 
-    async def call_broke_off(self, exchange, call):
+    async def record_lost_call(self, exchange, call):
         """Record a call that broke off, and wait for the probe it starts.
 
         The call may be retried elsewhere at once. By then other daemons should
@@ -202,14 +204,14 @@
         self.crash_detector.record_lost_call(call, exchange)
         await asyncio.wait({self.crash_detector.probe(exchange.pool)})
 
-    def give_up(self, exchange, call, call_token):
-        """Close the connection and tell the target why, if it listens."""
+    def cancel(self, exchange, call, call_token):
+        """Close the connection, and notify the target if it takes notices."""
         exchange.abort()
         self.crash_detector.record_lost_call(call, exchange)
         self.notices.post(exchange.pool.announcement, call_token)
 
     async def close(self):
-        """Close all connections."""
+        """Cancel background tasks and close all connections."""
         self.crash_detector.close()
         await self.notices.close()
         if self.pool is not None:
--- a/tests/unit/daemon/test_target_client.py
+++ b/tests/unit/daemon/test_target_client.py
@@ -108,7 +108,7 @@
         there seemed to be as many as it takes.
         """
         self.announce(9, connections=2)
-        pool = self.client.pool_of(self.registry.current)
+        pool = self.client.pool_for(self.registry.current)
         loop = asyncio.get_running_loop()
 
         async def connect(factory, host, port):
