--- a/tests/unit/daemon/target_client_support.py
+++ b/tests/unit/daemon/target_client_support.py
@@ -1,4 +1,4 @@
-"""A target that is scripted byte by byte, and a client for it."""
+"""A target client and targets that send scripted bytes, for tests."""
 
 import unittest
 
@@ -12,6 +12,8 @@
 
 
 def replying(data, close=False):
+    """Return the behaviour of a target that sends fixed bytes."""
+
     async def behave(reader, writer):
         writer.write(data)
         if close:
@@ -21,6 +23,7 @@
 
 
 async def silent(reader, writer):
+    """Read a request and never answer."""
     await reader.read()
 
 
@@ -28,12 +31,15 @@
 
 
 class ClientTestCase(unittest.IsolatedAsyncioTestCase):
+    """A test case with a registry and a client for its target."""
+
     async def asyncSetUp(self):
         self.registry = TargetRegistry()
         self.client = HttpTargetClient(settings(inline_body_bytes=1024), self.registry)
         self.addAsyncCleanup(self.client.close)
 
     async def open(self, behave, **changes):
+        """Start a target and announce it."""
         target = RawTarget(behave)
         await self.enterAsyncContext(target)
         self.announce(target.port, **changes)
@@ -44,11 +50,13 @@
         values["connections"] = 4
         self.registry.announce(Announcement(**{**values, **changes}))
 
-    async def run_call(self, made=None):
-        return await bounded(self.client.run(made or call(), "t1"))
+    async def run_call(self, sent=None):
+        """Run a call and return its answer."""
+        return await bounded(self.client.run(sent or call(), "t1"))
 
-    async def fails(self, kind, made=None):
+    async def fails(self, kind, sent=None):
+        """Run a call that fails with a kind; return the error."""
         with self.assertRaises(CallError) as caught:
-            await self.run_call(made)
+            await self.run_call(sent)
         self.assertEqual(caught.exception.kind, kind)
         return caught.exception
--- a/tests/unit/daemon/test_target_client.py
+++ b/tests/unit/daemon/test_target_client.py
@@ -1,3 +1,5 @@
+"""The HTTP client of the target: framing, forwarding and its pool."""
+
 import asyncio
 import socket
 import struct
@@ -11,18 +13,18 @@
 
 
 class UnframedTests(ClientTestCase):
-    """Answers without a length, which end with their connection."""
+    """Answers without a length, which end when the connection closes."""
 
-    async def test_one_that_is_closed_is_whole(self):
+    async def test_an_answer_ended_by_a_close_is_complete(self):
         await self.open(replying(b"HTTP/1.1 200 OK\r\n\r\nall", close=True))
         answer = await self.run_call()
         self.assertEqual(answer.body.first, b"all")
 
-    async def test_one_that_is_reset_is_not(self):
-        """A caller got half an answer as a whole one.
+    async def test_an_answer_ended_by_a_reset_is_not_complete(self):
+        """Guards against a partial answer that a caller gets as complete.
 
-        The target sends head and a part of a body without a length, and its
-        connection is reset. The HTTP library takes any end of the connection
+        The target sends the head and part of a body without a length; then the
+        connection is reset. The HTTP parser takes any end of the connection
         for the end of such a body.
         """
 
@@ -38,7 +40,7 @@
         await self.fails(ErrorKind.TARGET_LOST)
 
 
-class PassingTests(ClientTestCase):
+class ForwardingTests(ClientTestCase):
     async def test_request_and_answer(self):
         data = (
             b"HTTP/1.1 203 O\r\nSet-Cookie: a\r\nX-q: \xc3\xa9\xff\r\nSet-Cookie: b\r\n"
@@ -46,8 +48,8 @@
             b"Connection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 3\r\n\r\nzip"
         )
         target = await self.open(replying(data))
-        made = call("GET", "/a%2F//..?q=%20", [("X-Odd-CASE", "é\udcff"), ("x-a", "1")])
-        answer = await self.run_call(made)
+        sent = call("GET", "/a%2F//..?q=%20", [("X-Odd-CASE", "é\udcff"), ("x-a", "1")])
+        answer = await self.run_call(sent)
         cookies = [("Set-Cookie", "a"), ("X-q", "é\udcff"), ("Set-Cookie", "b")]
         self.assertEqual(answer.headers, [*cookies, ("Content-Encoding", "gzip")])
         self.assertEqual((answer.status, answer.body.first), (203, b"zip"))
@@ -61,7 +63,7 @@
         wanted = {f"Papayabay-{key}": value for key, value in expected.items()}
         self.assertEqual(fields, wanted)
 
-    async def test_connection_is_used_again(self):
+    async def test_connection_is_reused(self):
         target = await self.open(replying(OK))
         for _ in range(3):
             await self.run_call()
@@ -76,36 +78,38 @@
         self.assertEqual(answer.body.first, b"")
 
     async def test_large_bodies_stream_both_ways(self):
-        got = bytearray()
+        received = bytearray()
 
         async def echo(reader, writer):
             while size := int(await reader.readline(), 16):
-                got.extend(await reader.readexactly(size))
+                received.extend(await reader.readexactly(size))
                 await reader.readline()
             await reader.readline()
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(got))
-            writer.write(got)
+            writer.write(
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(received)
+            )
+            writer.write(received)
 
-        async def parts():
+        async def chunks():
             for _ in range(50):
                 yield b"b" * 4000
 
         await self.open(echo)
-        answer = await self.run_call(call("POST", body=Body(b"a" * 9, parts())))
+        answer = await self.run_call(call("POST", body=Body(b"a" * 9, chunks())))
         self.assertIn(("Content-Length", "200009"), answer.headers)
-        body = answer.body.first + b"".join([part async for part in answer.body.rest])
+        body = answer.body.first + b"".join([chunk async for chunk in answer.body.rest])
         self.assertEqual(body, b"a" * 9 + b"b" * 200_000)
-        self.assertEqual(bytes(got), body)
+        self.assertEqual(bytes(received), body)
         self.assertEqual(self.client.pool.users, 0)
 
 
 class PoolTests(ClientTestCase):
-    async def test_connections_that_end_at_once_take_no_place(self):
-        """A target got no more calls, though it was well again.
+    async def test_connections_that_are_reset_at_once_do_not_count_as_open(self):
+        """Guards against a target that gets no calls after it has recovered.
 
-        Sequence: it resets each connection as soon as it is made, for a
-        while. Cause: connections that had ended were counted as open, until
-        there seemed to be as many as it takes.
+        For a while, the target resets each connection as soon as it is made.
+        If closed connections counted as open, the target's limit of
+        connections would seem to be reached for good.
         """
         self.announce(9, connections=2)
         pool = self.client.pool_for(self.registry.current)
@@ -123,11 +127,11 @@
                     await bounded(pool.connect())
         self.assertEqual((len(pool.open), pool.connecting), (0, 0))
 
-    async def test_new_incarnation_does_not_cut_off_calls_under_way(self):
-        go = asyncio.Event()
+    async def test_new_incarnation_does_not_cut_off_calls_in_flight(self):
+        proceed = asyncio.Event()
 
         async def slow(reader, writer):
-            await go.wait()
+            await proceed.wait()
             writer.write(OK)
 
         old = await self.open(slow)
@@ -136,12 +140,12 @@
         old_pool = self.client.pool
         await self.open(replying(OK))
         await self.run_call()
-        go.set()
+        proceed.set()
         self.assertEqual((await bounded(running)).body.first, b"ok")
         await bounded(old.gone.wait())
         self.assertTrue(old_pool.closed)
 
-    async def test_changed_promises_hold_for_a_kept_pool(self):
+    async def test_a_changed_announcement_applies_to_the_kept_pool(self):
         data = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
         target = await self.open(replying(data))
         await self.run_call()
--- a/tests/unit/daemon/test_target_registry.py
+++ b/tests/unit/daemon/test_target_registry.py
@@ -1,3 +1,5 @@
+"""The registry of the announced target, and the door that fills it."""
+
 import asyncio
 import json
 import unittest
@@ -25,10 +27,10 @@
     def setUp(self):
         self.clock = FakeClock()
         self.registry = TargetRegistry(self.clock)
-        self.seen = []
-        self.registry.listeners.append(self.seen.append)
+        self.notified = []
+        self.registry.listeners.append(self.notified.append)
 
-    def test_lease_expiry_withdraws_and_repetition_holds(self):
+    def test_lease_expiry_withdraws_and_repetition_renews(self):
         self.registry.announce(announcement())
         self.clock.time += 0.9
         self.registry.announce(announcement())
@@ -36,9 +38,9 @@
         self.assertIsNotNone(self.registry.current)
         self.clock.time += 0.2
         self.assertIsNone(self.registry.current)
-        self.assertEqual([bool(item) for item in self.seen], [True, False])
+        self.assertEqual([bool(item) for item in self.notified], [True, False])
 
-    def test_only_another_incarnation_restarts_the_cold_start(self):
+    def test_only_another_process_restarts_the_cold_start(self):
         self.registry.announce(announcement())
         first = self.registry.current.announced_at
         self.clock.time += 0.5
@@ -49,11 +51,11 @@
             self.registry.announce(announcement(**changes))
             self.assertEqual(self.registry.current.announced_at, self.clock.time)
 
-    def test_dead_target_is_withdrawn_before_its_lease_ends(self):
-        """Calls went on failing at a dead target.
+    def test_dead_target_is_withdrawn_before_its_lease_expires(self):
+        """Guards against calls that fail at a dead target with a valid lease.
 
-        Its process is killed and can't withdraw; its port refuses each
-        connection, while its lease still holds.
+        Its process is killed and can't withdraw; its port refuses connections
+        while its lease has not expired.
         """
         self.registry.announce(announcement())
         current = self.registry.current
@@ -65,22 +67,22 @@
             self.registry.record_connect_failure(current)
         self.assertIsNone(self.registry.current)
 
-    def test_overtaken_announcements_change_nothing(self):
-        """A draining target got new work again.
+    def test_an_outdated_announcement_changes_nothing(self):
+        """Guards against new calls to a draining target.
 
-        One of its announcements, sent before it drained, was held up on its
-        way and came after the one that told of draining.
+        An announcement from before the drain is delayed and arrives after the
+        one that states the drain.
         """
         self.registry.announce(announcement(sequence=1))
         self.registry.announce(announcement(sequence=3, draining=True))
         self.assertFalse(self.registry.announce(announcement(sequence=2)))
         self.assertTrue(self.registry.current.draining)
 
-    def test_a_late_announcement_of_a_former_process_changes_nothing(self):
-        """Calls went to a process that had ended.
+    def test_a_late_announcement_of_a_replaced_process_changes_nothing(self):
+        """Guards against calls to a process that has ended.
 
-        Its last announcement arrives after its successor's first at the same
-        address, and after it has said that it is gone.
+        Its last announcement arrives after it has deregistered, and after the
+        first one of its successor at the same address.
         """
         self.registry.announce(announcement(sequence=4, incarnation="a"))
         self.registry.mark_draining("a")
@@ -90,12 +92,12 @@
         self.assertEqual(self.registry.current.incarnation, "b")
         self.assertFalse(self.registry.current.draining)
 
-    def test_a_process_that_keeps_its_name_over_a_restart_is_another_one(self):
-        """An upstream that started again got no calls.
+    def test_a_restarted_process_with_the_same_name_is_a_new_one(self):
+        """Guards against a restarted upstream that gets no calls.
 
-        Sequence: it crashes while draining, with many announcements made,
-        and starts again under the same name; its numbers begin anew. Cause:
-        the newest number was kept by name, so that all it said was late.
+        It crashes while draining, after many announcements, and restarts with
+        the same name; its sequence numbers start anew. If the highest number
+        were kept by name, all its announcements would seem outdated.
         """
         before = {"incarnation": "a", "born_ms": 1_000}
         self.registry.announce(announcement(**before, sequence=7))
@@ -105,7 +107,7 @@
         self.assertTrue(self.registry.announce(announcement(**after, sequence=1)))
         self.assertFalse(self.registry.current.draining)
         self.assertEqual(self.registry.current.announced_at, self.clock.time)
-        # Nothing that the former process sent changes anything.
+        # Late messages of the previous process change nothing.
         self.assertFalse(self.registry.announce(announcement(**before, sequence=9)))
         self.registry.mark_draining("a", 1_000)
         self.assertFalse(self.registry.current.draining)
@@ -113,24 +115,24 @@
         self.registry.mark_draining("a", 2_000)
         self.assertTrue(self.registry.current.draining)
 
-    def test_a_former_process_that_was_never_heard_of_is_late(self):
-        """Calls went to a process that had ended.
+    def test_an_older_process_unknown_to_this_daemon_is_outdated(self):
+        """Guards against calls to a process that has ended.
 
-        Sequence: this daemon starts after an upstream crashed and started
-        again; the new process announces itself, and then a heartbeat of the
-        old one arrives that was held up. Cause: it has no number here.
+        This daemon starts after an upstream has crashed and restarted. The new
+        process announces itself; then a delayed heartbeat of the old one
+        arrives, for which no sequence number is recorded here.
         """
         self.registry.announce(announcement(incarnation="b", born_ms=9, sequence=1))
         late = announcement(incarnation="a", born_ms=8, sequence=50)
         self.assertFalse(self.registry.announce(late))
         self.assertEqual(self.registry.current.incarnation, "b")
 
-    def test_an_address_that_another_process_took_is_given_up(self):
-        """All calls to an upstream were refused for the rest of its lease.
+    def test_a_target_replaced_at_its_address_is_withdrawn(self):
+        """Guards against calls that are refused until the lease expires.
 
-        Sequence: it dies and another process takes its address, which
-        refuses what names the former one. Cause: the announcement held on.
-        The clock of the new one was set back, so that it seems older.
+        An upstream dies, and the process that takes over its address refuses
+        calls addressed to the old one. The clock of the new process was set
+        back, so that it seems to be the older one.
         """
         self.registry.announce(announcement(incarnation="a", born_ms=9, sequence=1))
         self.registry.mark_replaced(self.registry.current)
@@ -138,13 +140,13 @@
         self.registry.announce(announcement(incarnation="b", born_ms=5, sequence=1))
         self.assertEqual(self.registry.current.incarnation, "b")
 
-    def test_repetitions_that_only_count_on_are_no_change(self):
+    def test_repetitions_with_a_new_sequence_number_are_no_change(self):
         self.registry.announce(announcement(sequence=1, cold_start_ms=900))
         self.registry.announce(announcement(sequence=2, cold_start_ms=500))
-        self.assertEqual(len(self.seen), 1)
+        self.assertEqual(len(self.notified), 1)
         self.assertEqual(self.registry.current.cold_start_ms, 900)
 
-    def test_failures_of_an_older_incarnation_do_not_count(self):
+    def test_connect_failures_of_an_older_incarnation_do_not_count(self):
         self.registry.announce(announcement())
         older = self.registry.current
         self.registry.announce(announcement(incarnation="b"))
@@ -154,31 +156,31 @@
 
 
 class WatchTests(unittest.IsolatedAsyncioTestCase):
-    async def test_an_end_that_comes_with_an_announcement_ends_the_watch(self):
-        """A daemon that was told to stop was still there after its grace time.
+    async def test_a_cancellation_together_with_an_announcement_ends_the_watch(self):
+        """Guards against a daemon that does not exit when it is stopped.
 
-        Its last target is withdrawn in the very turn of the event loop in
-        which all parts are ended; the part that watches the lease took the
-        news and missed the end.
+        The target is withdrawn in the same turn of the event loop in which the
+        daemon's tasks are cancelled. The task that watches the lease must not
+        lose the cancellation to the event.
         """
         registry = TargetRegistry()
         registry.announce(announcement())
-        watching = asyncio.create_task(registry.watch())
+        watch = asyncio.create_task(registry.watch())
         for _ in range(3):
             await asyncio.sleep(0)
         registry.announce(announcement(slots=9))
-        watching.cancel()
+        watch.cancel()
         with self.assertRaises(asyncio.CancelledError):
-            await asyncio.wait_for(watching, 1)
+            await asyncio.wait_for(watch, 1)
 
-    async def test_lease_end_is_noticed_without_calls(self):
+    async def test_a_lease_expires_without_calls(self):
         registry = TargetRegistry()
-        gone = asyncio.Event()
-        registry.listeners.append(lambda item: None if item else gone.set())
+        withdrawn = asyncio.Event()
+        registry.listeners.append(lambda item: None if item else withdrawn.set())
         watch = asyncio.create_task(registry.watch())
         self.addCleanup(watch.cancel)
         registry.announce(announcement(lease_ms=100))
-        await bounded(gone.wait())
+        await bounded(withdrawn.wait())
 
 
 class TargetDoorTests(unittest.IsolatedAsyncioTestCase):
@@ -208,7 +210,7 @@
         await self.post("/.papayabay/withdraw")
         self.assertIsNone(self.registry.current)
 
-    async def test_faulty_announcements_are_refused(self):
+    async def test_invalid_announcements_are_rejected(self):
         cases = [{"address": "http://10.0.0.1:81"}, {"address": "http://127.0.0.1"}]
         cases += [{"address": "http://127.0.0.1:81/x"}, {"slots": 0}, {"odd": 1}]
         cases += [{"cancel_path": "c d"}, {"shed_status": 200}, {"service": "a b"}]
--- a/tests/unit/daemon/test_target_truth.py
+++ b/tests/unit/daemon/test_target_truth.py
@@ -1,4 +1,4 @@
-"""What a target's answer may be taken for, and what it may not."""
+"""Which calls count as run, as not run and as unknown by a target's answer."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 from tests.unit.daemon.target_client_support import OK, ClientTestCase, replying, silent
 
 
-class TruthTests(ClientTestCase):
+class EffectTests(ClientTestCase):
     async def test_refused_connection_was_not_run(self):
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
@@ -19,7 +19,7 @@
                 await self.fails(ErrorKind.TARGET_UNREACHABLE)
         self.assertIsNone(self.registry.current)
 
-    async def test_unannounced_target_gets_nothing(self):
+    async def test_unannounced_target_gets_no_calls(self):
         await self.fails(ErrorKind.TARGET_UNREACHABLE)
 
     async def test_lost_answers_are_unknown(self):
@@ -34,11 +34,11 @@
                 await self.open(replying(data, close=True))
                 await self.fails(ErrorKind.TARGET_LOST)
 
-    async def test_lost_request_is_not_repeated_on_a_new_connection(self):
-        """An order ran twice after an idle connection was lost.
+    async def test_lost_request_is_not_retried_on_a_new_connection(self):
+        """Guards against a call that runs twice after a connection was lost.
 
-        The target reads a request on a kept connection and dies before it
-        answers. HTTP clients repeat some methods by themselves then.
+        The target reads a request on a reused connection and closes it without
+        an answer. Many HTTP clients then retry some methods on their own.
         """
         replies = [OK, None]
 
@@ -51,7 +51,7 @@
         await self.fails(ErrorKind.TARGET_LOST)
         self.assertEqual(len(target.requests), 2)
 
-    async def test_shed_status_is_a_refusal_only_when_promised(self):
+    async def test_shed_status_is_a_refusal_only_when_announced(self):
         data = b"HTTP/1.1 503 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"
         await self.open(replying(data))
         self.assertEqual((await self.run_call()).status, 503)
@@ -61,13 +61,13 @@
         await self.fails(ErrorKind.TARGET_SHED)
         self.assertEqual((len(target.requests), target.accepted), (2, 1))
 
-    async def test_refusal_from_below_is_not_the_targets_answer(self):
-        """A refused order could never be repeated with its key.
+    async def test_refusal_passed_on_is_not_the_targets_answer(self):
+        """Guards against a refusal that is stored as the answer of its key.
 
-        Symptom: every repeat of a refused order got the same refusal, long
-        after the overload. Sequence: the service below refused, the target
-        passed that on, and the gate kept it as the key's first answer.
-        Cause: a refusal that says `not-run` was taken for an answer.
+        The service that a target calls refuses, and the target passes that on
+        with `not-run`. If this counted as an answer, the idempotency gate
+        would store it, and each retry would get the same refusal even after
+        the overload.
         """
         data = (
             b"HTTP/1.1 503 Busy\r\nPapayabay-Effect: not-run\r\n"
@@ -86,12 +86,12 @@
         await self.open(replying(data))
         self.assertEqual((await self.run_call()).status, 200)
 
-    async def test_life_that_ended_before_sending(self):
+    async def test_deadline_exceeded_before_sending(self):
         target = await self.open(silent)
         await self.fails(ErrorKind.EXPIRED_UNSENT, call(life=-1))
         self.assertEqual(target.requests, [])
 
-    async def test_life_that_ends_while_waiting_for_a_connection(self):
+    async def test_deadline_exceeded_while_waiting_for_a_connection(self):
         target = await self.open(silent, connections=1)
         first = asyncio.create_task(self.client.run(call(), "t0"))
         await bounded(target.arrived.wait())
@@ -99,7 +99,7 @@
         first.cancel()
         self.assertEqual(len(target.requests), 1)
 
-    async def test_life_that_ends_at_the_target_closes_and_cancels(self):
+    async def test_deadline_exceeded_at_the_target_closes_and_cancels(self):
         notices = await self.open(replying(OK))
         self.client.notices.post = lambda item, token: notices.requests.append(token)
         target = await self.open(silent)
@@ -125,33 +125,33 @@
         await bounded(posted.wait())
 
     async def test_request_body_that_breaks_off_is_unknown(self):
-        """A caller was told "not run" of a request that was begun.
+        """Guards against the answer "not run" to a request sent in part.
 
-        The body's source fails with an error whose table row says that
-        nothing was run, when parts of it are at the target already.
+        The body's source fails when the target has received part of it. The
+        kind of that error states that nothing was run.
         """
 
-        async def parts():
-            yield b"part"
+        async def chunks():
+            yield b"chunk"
             raise CallError(ErrorKind.BODY_TOO_LARGE)
 
         target = await self.open(silent)
-        made = call("POST", body=Body(b"first", parts()))
-        await self.fails(ErrorKind.TARGET_LOST, made)
+        sent = call("POST", body=Body(b"first", chunks()))
+        await self.fails(ErrorKind.TARGET_LOST, sent)
         await bounded(target.gone.wait())
 
     async def test_answer_stream_that_breaks_off_raises(self):
         head = b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"
-        go = asyncio.Event()
+        proceed = asyncio.Event()
 
         async def behave(reader, writer):
             writer.write(head + b"a" * 2000)
-            await go.wait()
+            await proceed.wait()
             writer.close()
 
         await self.open(behave)
         answer = await self.run_call()
-        go.set()
+        proceed.set()
         with self.assertRaises(PayloadBroken):
             await bounded(self.drain(answer.body.rest))
         self.assertEqual(self.client.pool.users, 0)
