--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limit_owner.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/limit_owner.py
@@ -73,8 +73,9 @@
             self.counters["granted"] += 1
             return TokenReply(Outcome.GRANTED, 1, whole_ms(wait))
         self.counters["exhausted"] += 1
-        retry_delay = bucket.next_retry_delay(moment)
-        return TokenReply(Outcome.EXHAUSTED, wait_ms=whole_ms(retry_delay))
+        return TokenReply(
+            Outcome.EXHAUSTED, wait_ms=whole_ms(bucket.next_retry_delay(moment))
+        )
 
     def may_grant(self, account, slot):
         """Return whether this daemon owns a slot and its ring has settled."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
@@ -210,10 +210,11 @@
             return self.owner.grant(request)
         self.counters["asked"] += 1
         payload = encode(request)
-        timeout = REQUEST_TIMEOUT_SECONDS
         try:
-            async with asyncio.timeout(timeout):
-                answer = await self.links.request(member, TOPIC, payload, timeout)
+            async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
+                answer = await self.links.request(
+                    member, TOPIC, payload, REQUEST_TIMEOUT_SECONDS
+                )
             return decode_reply(answer)
         except (ProtocolError, OSError, TimeoutError):
             self.counters["unanswered"] += 1
--- a/tests/unit/daemon/test_crash_detector.py
+++ b/tests/unit/daemon/test_crash_detector.py
@@ -70,7 +70,7 @@
         self.assertIn("target p1 of svc has ended with 2 calls at work: r1=", line)
 
     async def test_a_crash_under_a_cancelled_call_is_detected(self):
-        """Guards against a request that crashes targets without a suspicion.
+        """Guards against a request that crashes targets unsuspected.
 
         The caller cancels the call, then the target crashes, and the next call
         is refused a connection. No call broke off, so only the cancelled one
--- a/tests/unit/daemon/test_target_truth.py
+++ b/tests/unit/daemon/test_target_truth.py
@@ -132,7 +132,7 @@
         """
 
         async def chunks():
-            yield b"chunk"
+            yield b"part"
             raise CallError(ErrorKind.BODY_TOO_LARGE)
 
         target = await self.open(silent)
