--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/owner_limiter.py
@@ -33,7 +33,8 @@
 MIN_RETRY_MS = 50
 """Shortest Retry-After of a request over the limit, before jitter."""
 UNKNOWN_RETRY_MS = 300
-"""Retry-After, before jitter, while no owner of the limit can be asked."""
+"""Retry-After, before jitter, while no owner can say whether the limit is
+exhausted."""
 
 
 @dataclass(slots=True)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -109,11 +109,11 @@
             raise
         except Exception as error:
             # Once a byte was written, the target may have acted on the
-            # request. That holds also if a kept connection turns out to be
+            # request. That holds also if a reused connection turns out to be
             # closed: nothing shows whether the target read the bytes before.
             if exchange is not None:
                 exchange.abort()
-                await self.record_lost_call(exchange, call)
+                await self.handle_lost_call(exchange, call)
             raise CallError(ErrorKind.TARGET_LOST, repr(error)) from error
 
     async def connect(self, pool):
@@ -179,7 +179,7 @@
         raise CallError(ErrorKind.TARGET_LOST, "answers to other requests only")
 
     def watch_stream(self, stream, call, call_token, pool):
-        """Count as a user of the pool until a streamed answer ends."""
+        """Keep a call as a user of the pool until its streamed answer ends."""
         loop = asyncio.get_running_loop()
 
         def on_end(complete):
@@ -195,7 +195,7 @@
 
         stream.on_end = on_end
 
-    async def record_lost_call(self, exchange, call):
+    async def handle_lost_call(self, exchange, call):
         """Record a call that broke off, and wait for the probe it starts.
 
         The call may be retried elsewhere at once. By then other daemons should
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
@@ -16,7 +16,7 @@
 RETRY_AFTER_MS_FIELD = b"papayabay-retry-after-ms"
 KEEP_ALIVE_PATTERN = re.compile(rb"timeout=([0-9]{1,6})")
 MAX_DIGITS = 8
-"""Header values with this many digits or more are ignored."""
+"""Retry-After values with this many digits or more are ignored."""
 MAX_RETRY_AFTER_S = 3_600
 
 
@@ -27,8 +27,8 @@
 class Verdict(Enum):
     """Classification of an answer of the target.
 
-    ``ANSWER`` is forwarded to the caller unchanged. After ``SHED``,
-    ``REJECTED``, ``REPLACED`` and ``REFUSED_BELOW``, the call was not run.
+    ``ANSWER`` is forwarded to the caller. After ``SHED``, ``REJECTED``,
+    ``REPLACED`` and ``REFUSED_BELOW``, the call was not run.
     ``REJECTED`` is a refusal by a target that reports free slots, so sending
     it fewer calls would not help. ``REPLACED`` comes from another process
     than the announced one. ``REFUSED_BELOW`` passes on the refusal of a call
--- a/tests/unit/daemon/test_account_calls.py
+++ b/tests/unit/daemon/test_account_calls.py
@@ -85,7 +85,7 @@
         self.assertEqual(self.enter().importance, Importance.NORMAL)
 
     def test_child_calls_inherit_account_and_class(self):
-        """Guards against child calls of a critical account that are queued."""
+        """Guards against child calls that lose the class of their account."""
         policy = account_policy(small={"importance": "critical"})
         call = self.enter(small={"importance": "critical"})
         child = flow_of(policy).child_call(request(), rule_of(policy), call)
