--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/control.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/control.py
@@ -118,7 +118,7 @@
         """Return the seconds of the clock that calls go by."""
         return self.clock()
 
-    def ask_below(self, source):
+    def set_downstream_source(self, source):
         """Set what tells the level of the services below a path."""
         self.downstream.source = source
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -188,7 +188,7 @@
         )
         self.tree = CallTree()
         chains = ChainModel(self.router)
-        self.admission.ask_below(chains.closed_paths)
+        self.admission.set_downstream_source(chains.closed_paths)
         self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstreams)
         receiver = Receiver(self.parts, self.tree, chains, self.arrivals)
         dispatcher = Dispatcher(self.parts, receiver, self.retries)
--- a/tests/unit/daemon/test_admission_control.py
+++ b/tests/unit/daemon/test_admission_control.py
@@ -119,7 +119,7 @@
     async def test_refused_below_means_refused_here(self, clock):
         control = make_control(clock)
         levels = {"p": level_of(Importance.NORMAL, 1_000)}
-        control.ask_below(lambda: dict(levels))
+        control.set_downstream_source(lambda: dict(levels))
         worse = make_call(clock, rank=9_000)
         self.assertEqual(await outcome(control, worse), ErrorKind.OVERLOADED)
         (await control.admit(make_call(clock, rank=500))).finish(OK)
@@ -135,7 +135,7 @@
     async def test_no_worse_class_passes_right_after_a_refusal(self, clock):
         control = make_control(clock, overload_hold_ms=200)
         levels = {"p": ADMIT_NONE}
-        control.ask_below(lambda: levels)
+        control.set_downstream_source(lambda: levels)
         order = make_call(clock, Importance.CRITICAL)
         browse = make_call(clock, Importance.SHEDDABLE)
         self.assertEqual(await outcome(control, order), ErrorKind.OVERLOADED)
@@ -149,14 +149,14 @@
     @virtually
     async def test_can_be_switched_off(self, clock):
         control = make_control(clock, upstream_refusal=False)
-        control.ask_below(lambda: {"p": ADMIT_NONE})
+        control.set_downstream_source(lambda: {"p": ADMIT_NONE})
         (await control.admit(make_call(clock))).finish(OK)
 
 
 class RetryAfterTests(unittest.TestCase):
     async def pauses(self, clock, **values):
         control = make_control(clock, **values)
-        control.ask_below(lambda: {"p": ADMIT_NONE})
+        control.set_downstream_source(lambda: {"p": ADMIT_NONE})
         pauses = []
         for _ in range(200):
             try:
