--- a/packages/papayabay-core/src/papayabay_core/calls.py
+++ b/packages/papayabay-core/src/papayabay_core/calls.py
@@ -65,7 +65,7 @@
         Whether it is another attempt, or made by a run that was one.
     declared : Importance or None
         The class that policy gives it, where it stands with a better one;
-        see `standing_of`.
+        see `effective_priority`.
     attempts : int
         Upstreams that may run it, 0 without a bound. Kept by the daemon that
         dispatches the call; it does not travel.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -15,7 +15,11 @@
     error_answer,
 )
 from papayabay_daemon._internal.lifetime.deadlines import entry_deadline
-from papayabay_daemon._internal.lifetime.ranks import rank_of, rank_within, standing_of
+from papayabay_daemon._internal.lifetime.ranks import (
+    effective_priority,
+    rank_in_account_class,
+    rank_of,
+)
 from papayabay_daemon._internal.retries import CreditAccount
 
 UNLIMITED_SECONDS = 600.0
@@ -246,9 +250,9 @@
         account = identity.account if identity else NO_ACCOUNT
         declared = rule.importance if account.importance is None else account.importance
         rank = rank_of(incoming.idempotency_key or request_id)
-        importance, rank = standing_of(declared, rank, decisions.kept_share)
+        importance, rank = effective_priority(declared, rank, decisions.kept_share)
         if account.importance is not None and importance is declared:
-            rank = rank_within(rule.importance, rank)
+            rank = rank_in_account_class(rule.importance, rank)
         return Call(
             request_id=request_id,
             service=incoming.service,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/ranks.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/ranks.py
@@ -17,7 +17,7 @@
     return digest >> (HASH_BITS - RANK_BITS)
 
 
-def standing_of(importance, rank, kept_share):
+def effective_priority(importance, rank, kept_share):
     """Return class and rank by which a request stands in all lines.
 
     In an overload that only critical requests can fill, all others would be
@@ -39,7 +39,7 @@
     return Importance.CRITICAL, int(rank / kept_share)
 
 
-def rank_within(importance, rank):
+def rank_in_account_class(importance, rank):
     """Return the rank of a request whose account has a class of its own.
 
     That class goes first; among requests of equal account classes, the ranks
--- a/tests/unit/daemon/test_lifetime_entry.py
+++ b/tests/unit/daemon/test_lifetime_entry.py
@@ -8,7 +8,7 @@
     per_hop_rank,
     rank_of,
 )
-from papayabay_daemon._internal.lifetime.ranks import standing_of
+from papayabay_daemon._internal.lifetime.ranks import effective_priority
 
 
 class DeadlineTests(unittest.TestCase):
@@ -26,7 +26,10 @@
         Orders alone could fill what was left of a service; each look-up was
         of a lower class than all of them, and 5 in 100 were served.
         """
-        kept = [standing_of(Importance.SHEDDABLE, rank, 0.125) for rank in range(RANKS)]
+        kept = [
+            effective_priority(Importance.SHEDDABLE, rank, 0.125)
+            for rank in range(RANKS)
+        ]
         critical = [rank for level, rank in kept if level is Importance.CRITICAL]
         self.assertEqual(len(critical), RANKS // 8)
         self.assertEqual((min(critical), max(critical)), (0, RANKS - 8))
@@ -34,9 +37,9 @@
     def test_nothing_else_changes(self):
         for importance in Importance:
             for rank in (0, 1, RANKS - 1):
-                stands = standing_of(importance, rank, 0.0)
+                stands = effective_priority(importance, rank, 0.0)
                 self.assertEqual(stands, (importance, rank))
-        critical = standing_of(Importance.CRITICAL, 5, 0.5)
+        critical = effective_priority(Importance.CRITICAL, 5, 0.5)
         self.assertEqual(critical, (Importance.CRITICAL, 5))
 
 
