--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -7,7 +7,7 @@
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.calls.answers import error_answer
 from papayabay_daemon._internal.decision_log import outcome_of
-from papayabay_daemon._internal.lifetime.timeouts import LifeTimeout
+from papayabay_daemon._internal.lifetime.timeouts import CallTimeout
 from papayabay_daemon._internal.retries import Attempts
 
 ANSWER_GRACE_SECONDS = 0.02
@@ -130,7 +130,7 @@
         if member.name == self.parts.local.name:
             return await self.receiver.receive(call, member.name)
         try:
-            with LifeTimeout(remaining + ANSWER_GRACE_SECONDS):
+            with CallTimeout(remaining + ANSWER_GRACE_SECONDS):
                 return await self.parts.links.call(member, call)
         except TimeoutError:
             raise CallError(ErrorKind.EXPIRED) from None
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/timeouts.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/timeouts.py
@@ -3,7 +3,7 @@
 import asyncio
 
 
-class LifeTimeout:
+class CallTimeout:
     """Cancels what its block awaits when a time has passed.
 
     A cheaper `asyncio.timeout` that can't be rescheduled, to be used with
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -5,7 +5,7 @@
 from papayabay_core.calls import Answer
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_daemon._internal.doors.headers import end_to_end, without
-from papayabay_daemon._internal.lifetime.timeouts import LifeTimeout
+from papayabay_daemon._internal.lifetime.timeouts import CallTimeout
 from papayabay_daemon._internal.quarantine.fingerprint import Fingerprints
 from papayabay_daemon._internal.target.cancellation import CancelNotices
 from papayabay_daemon._internal.target.crash_detector import CrashDetector
@@ -85,7 +85,7 @@
             raise CallError(ErrorKind.EXPIRED_UNSENT)
         exchange = None
         try:
-            with LifeTimeout(remaining):
+            with CallTimeout(remaining):
                 connection = await self.connect(pool)
                 exchange = Exchange(pool, connection, self.limits)
                 head = self.dialect.request_head(call, call_token, pool.announcement)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
@@ -8,7 +8,7 @@
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.doors import headers as rules
 from papayabay_daemon._internal.doors.streaming import write_body
-from papayabay_daemon._internal.lifetime.timeouts import LifeTimeout
+from papayabay_daemon._internal.lifetime.timeouts import CallTimeout
 
 PART_BYTES = 65_536
 
@@ -172,7 +172,7 @@
         if self.ended:
             raise StopAsyncIteration
         try:
-            with LifeTimeout(self.expires_after()):
+            with CallTimeout(self.expires_after()):
                 part = await self.exchange.message.payload.read(PART_BYTES)
         except BaseException:
             self.end(whole=False)
--- a/tests/unit/daemon/test_lifetime_timeouts.py
+++ b/tests/unit/daemon/test_lifetime_timeouts.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from papayabay_daemon._internal.lifetime.timeouts import LifeTimeout
+from papayabay_daemon._internal.lifetime.timeouts import CallTimeout
 
 LONG_SECONDS = 60.0
 
@@ -12,17 +12,17 @@
     async def test_expiry_is_a_timeout_and_leaves_no_cancellation(self):
         for seconds in (-1.0, 0.0, 0.01):
             with self.assertRaises(TimeoutError):
-                with LifeTimeout(seconds):
+                with CallTimeout(seconds):
                     await asyncio.Event().wait()
             self.assertEqual(asyncio.current_task().cancelling(), 0)
             await asyncio.sleep(0)
 
     async def test_value_and_error_pass(self):
-        with LifeTimeout(LONG_SECONDS) as timeout:
+        with CallTimeout(LONG_SECONDS) as timeout:
             await asyncio.sleep(0)
         self.assertTrue(timeout.timer.cancelled())
         with self.assertRaises(KeyError):
-            with LifeTimeout(LONG_SECONDS) as timeout:
+            with CallTimeout(LONG_SECONDS) as timeout:
                 raise KeyError
         self.assertTrue(timeout.timer.cancelled())
 
@@ -47,7 +47,7 @@
         started = asyncio.get_running_loop().create_future()
 
         async def work():
-            with LifeTimeout(LONG_SECONDS) as timeout:
+            with CallTimeout(LONG_SECONDS) as timeout:
                 started.set_result(timeout)
                 await asyncio.Event().wait()
 
@@ -57,9 +57,9 @@
             await task
 
     async def test_inner_expiry_is_not_the_outer_ones(self):
-        with LifeTimeout(LONG_SECONDS) as outer:
+        with CallTimeout(LONG_SECONDS) as outer:
             with self.assertRaises(TimeoutError):
-                with LifeTimeout(0.0):
+                with CallTimeout(0.0):
                     await asyncio.Event().wait()
             await asyncio.sleep(0)
         self.assertFalse(outer.expired)
