--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/control.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/control.py
@@ -150,22 +150,22 @@
         self.dispatch(now)
         self.arm(now)
 
-    def leave(self):
+    def stop_admitting(self):
         """Refuse what waits and whatever comes; what runs goes on."""
         self.leaving = True
         for waiting in self.emptied():
             self.end(waiting, self.refusal(waiting.call, ErrorKind.LEAVING))
 
-    def open(self):
+    def resume_admitting(self):
         """Admit again, as for a target that takes another one's place."""
         self.leaving = False
 
-    async def drained(self):
+    async def wait_until_idle(self):
         """Wait until nothing runs."""
         await self.idle.wait()
 
     def close(self):
-        """Stop the timers; nothing waits after `leave`."""
+        """Stop the timers; nothing waits after `stop_admitting`."""
         self.overload.close()
         self.expiries.close()
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
@@ -109,7 +109,7 @@
             async with asyncio.timeout(limits.drain_ms / 1000):
                 await asyncio.sleep(limits.leaving_accept_ms / 1000)
                 await self.leave(limits)
-                await daemon.admission.drained()
+                await daemon.admission.wait_until_idle()
                 await daemon.flow.idle.wait()
         except TimeoutError:
             log.warning("drain took too long; {} calls cut", len(daemon.tree.live))
@@ -121,7 +121,7 @@
         log.notice("leaving: no new work, draining")
         daemon.leaving = True
         daemon.limit_keeper.is_leaving = True
-        daemon.admission.leave()
+        daemon.admission.stop_admitting()
         await daemon.links.announce_leaving()
         await asyncio.gather(self.end_entry(limits), daemon.membership.leave())
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -286,10 +286,10 @@
         if target is None:
             self.membership.withdraw()
         elif self.leaving or target.draining:
-            self.admission.leave()
+            self.admission.stop_admitting()
             self.membership.withdraw()
         else:
-            self.admission.open()
+            self.admission.resume_admitting()
             self.membership.announce(target.service, target.slots)
 
     def target_crashed(self, crash):
--- a/tests/unit/daemon/test_admission_control.py
+++ b/tests/unit/daemon/test_admission_control.py
@@ -50,7 +50,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         self.assertGreater(control.counters.cancelled, 50)
         self.assertEqual((control.in_flight, control.scheme.line.live), (0, 0))
-        await control.drained()
+        await control.wait_until_idle()
 
     @virtually
     async def test_grant_and_cancel_in_the_same_turn(self, clock):
@@ -186,11 +186,11 @@
         running = await control.admit(make_call(clock))
         waiting = start(control, make_call(clock))
         await settle()
-        control.leave()
+        control.stop_admitting()
         self.assertEqual(await waiting, ErrorKind.LEAVING)
         refused = await outcome(control, make_call(clock))
         self.assertEqual(refused, ErrorKind.LEAVING)
-        drained = asyncio.ensure_future(control.drained())
+        drained = asyncio.ensure_future(control.wait_until_idle())
         await settle()
         self.assertFalse(drained.done())
         running.finish(OK)
@@ -218,7 +218,7 @@
     async def test_snapshot_is_plain(self, clock):
         control = make_control(clock)
         await teach(control, clock, 0.01)
-        control.leave()
+        control.stop_admitting()
         await outcome(control, make_call(clock))
         shown = control.snapshot()
         self.assertEqual(shown["admitted"], {"normal": 30})
--- a/tests/unit/daemon/test_admission_ranked.py
+++ b/tests/unit/daemon/test_admission_ranked.py
@@ -90,7 +90,7 @@
         self.assertFalse(worse[0].done())
         self.assertFalse(better.done())
         self.assertEqual(control.counters.displaced, 1)
-        control.leave()
+        control.stop_admitting()
         await settle()
 
 
@@ -164,7 +164,7 @@
         self.assertEqual(hasty.result(), ErrorKind.OVERLOADED)
         self.assertEqual(browse.result(), ErrorKind.OVERLOADED)
         self.assertFalse(any(order.done() for order in orders))
-        control.leave()
+        control.stop_admitting()
         await settle()
 
 
@@ -201,7 +201,7 @@
             order = start(control, make_call(clock, CRITICAL, life=9))
         self.assertEqual(look_up.result(), ErrorKind.OVERLOADED)
         self.assertLessEqual(clock() - asked_at, 0.2)
-        control.leave()
+        control.stop_admitting()
         await settle()
 
     @virtually
--- a/tests/unit/daemon/test_admission_rivals.py
+++ b/tests/unit/daemon/test_admission_rivals.py
@@ -68,7 +68,7 @@
         self.assertEqual(control.in_flight, 2)
         self.assertEqual(waiting[-1].result(), ErrorKind.OVERLOADED)
         self.assertFalse(waiting[-2].done())
-        control.leave()
+        control.stop_admitting()
         await settle()
 
     @virtually
