--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
@@ -50,9 +50,9 @@
         self.check_service(call)
         account = self.budget.check(call)
         ticket = await self.admit(call, account)
-        self.budget.arrived(call, account)
+        self.budget.record_arrival(call, account)
         answer = await self.hand_over(call, ticket)
-        self.budget.ended(call, account, answer)
+        self.budget.record_end(call, account, answer)
         return answer
 
     def refuse(self, call, error):
@@ -83,7 +83,7 @@
         except BaseException:
             if ticket is not None:
                 ticket.finish(None)
-            self.budget.give_back(call, account)
+            self.budget.release(call, account)
             raise
         return ticket
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
@@ -82,7 +82,7 @@
         self.shortage.refused(call.service, self.clock(), tightest)
         raise CallError(ErrorKind.RETRIES_SPENT, "the service's budget is spent")
 
-    def arrived(self, call, window):
+    def record_arrival(self, call, window):
         """Count a call that has reached the target.
 
         A first attempt that is refused on its way is a first attempt again at
@@ -98,7 +98,7 @@
             window.first_arrived()
             self.counters["first_attempts"] += 1
 
-    def ended(self, call, window, answer):
+    def record_end(self, call, window, answer):
         """Take back a first attempt that never reached the target.
 
         It is tried elsewhere as a first one. A retry stays counted, which
@@ -109,10 +109,10 @@
         window.first_missed()
         self.counters["first_missed"] += 1
 
-    def give_back(self, call, window):
+    def release(self, call, window):
         """Release the reservation of a call that won't reach the target."""
         if window is not None and call.repeated:
-            window.give_back()
+            window.release()
 
     def totals(self):
         """Return what was counted since the start, for metrics."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/window.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/window.py
@@ -122,7 +122,7 @@
         self.pending -= 1
         self.repeats[-1] += 1
 
-    def give_back(self):
+    def release(self):
         """Note that a repeat that was let through won't reach the target."""
         self.pending -= 1
 
--- a/tests/unit/daemon/budget_support.py
+++ b/tests/unit/daemon/budget_support.py
@@ -57,7 +57,7 @@
 
     def firsts(self, budget, count):
         for _ in range(count):
-            budget.arrived(make_call(), budget.check(make_call()))
+            budget.record_arrival(make_call(), budget.check(make_call()))
 
     def steady(self, budget, count):
         """Let first attempts come evenly for a window and the one before."""
@@ -75,5 +75,5 @@
         except CallError as error:
             self.assertEqual(error.kind, ErrorKind.RETRIES_SPENT)
             return False
-        budget.arrived(repeat, account)
+        budget.record_arrival(repeat, account)
         return True
--- a/tests/unit/daemon/test_arrival_budget.py
+++ b/tests/unit/daemon/test_arrival_budget.py
@@ -115,7 +115,7 @@
         kept.declared = Importance.SHEDDABLE
         with self.assertRaises(CallError):
             for _ in range(400):
-                budget.arrived(kept, budget.check(kept))
+                budget.record_arrival(kept, budget.check(kept))
         spent = budget.counters["arrived"]
         self.assertLessEqual(spent, 0.2 * (0.2 * 1_000 + 3))
 
@@ -170,7 +170,7 @@
         budget = self.warm()
         repeat = make_call(repeated=True)
         for _ in range(99):
-            budget.give_back(repeat, budget.check(repeat))
+            budget.release(repeat, budget.check(repeat))
         self.assertEqual(self.allowed(budget, 99), 10)
         self.assertEqual(budget.counters["arrived"], 10)
 
@@ -188,7 +188,7 @@
         self.at += WINDOW_S + 1
         self.assertFalse(self.allow(budget))
         for account in waiting:
-            budget.arrived(repeat, account)
+            budget.record_arrival(repeat, account)
         self.at += WINDOW_S - 1
         self.assertFalse(self.allow(budget))
 
