--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -90,7 +90,7 @@
         before : Attempts
             Those made before.
         """
-        granted = account.split()
+        granted = account.grant()
         # Only few calls hold credits, and copying one takes as long as
         # choosing its upstream.
         attempt = call
@@ -113,7 +113,7 @@
             self.parts.router.ended(member, call, answer, elapsed)
             self.parts.latencies.attempt_ended(call.path_key, answer, elapsed)
             log.attempt(call, before.made + 1, known, answer, elapsed)
-        account.give_back(min(answer.credits_left, granted))
+        account.refund(min(answer.credits_left, granted))
         return answer
 
     async def send(self, member, call):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/credits.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/credits.py
@@ -10,18 +10,18 @@
 
     Parameters
     ----------
-    held : int
+    balance : int
         Credits that came with the call, or were minted at its entry.
     """
 
-    __slots__ = ("closed", "held", "spent")
+    __slots__ = ("closed", "balance", "spent")
 
-    def __init__(self, held):
-        self.held = max(0, held)
+    def __init__(self, balance):
+        self.balance = max(0, balance)
         self.spent = 0
         self.closed = False
 
-    def split(self):
+    def grant(self):
         """Take out and return the credits that go with one attempt.
 
         The attempt gets the larger half. The kept half stays here for a
@@ -36,11 +36,11 @@
         -------
         int
         """
-        granted = (self.held + 1) // 2
-        self.held -= granted
+        granted = (self.balance + 1) // 2
+        self.balance -= granted
         return granted
 
-    def give_back(self, unused):
+    def refund(self, unused):
         """Take back what an answered attempt did not spend.
 
         Parameters
@@ -55,17 +55,17 @@
             # answer. A late answer's credits would be held by nobody who
             # can use them; a repeat of the key would then find too many.
             return
-        self.held += max(0, unused)
+        self.balance += max(0, unused)
 
     def spend(self):
         """Spend one credit on a repeat; return False when none is held."""
-        if self.held < 1:
+        if self.balance < 1:
             return False
-        self.held -= 1
+        self.balance -= 1
         self.spent += 1
         return True
 
     def close(self):
         """End the account and return the unused credits for the answer."""
-        unused, self.held, self.closed = self.held, 0, True
+        unused, self.balance, self.closed = self.balance, 0, True
         return unused
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -191,7 +191,7 @@
         if not self.has_another(call, attempts):
             return "no-other"
         # Checked before the ratio spends a token that no retry would use.
-        if account.held < 1:
+        if account.balance < 1:
             return "no-credit"
         if not self.ratio.allow(call.service):
             return "ratio"
--- a/tests/unit/daemon/test_retries_rules.py
+++ b/tests/unit/daemon/test_retries_rules.py
@@ -52,17 +52,17 @@
                 self.attempt(account, depth, late)
         left = account.close()
         for unused in late:
-            account.give_back(unused)
-        assert account.held == 0
+            account.refund(unused)
+        assert account.balance == 0
         return left
 
     def attempt(self, account, depth, late):
         """Make one attempt; its answer comes, is lost, or comes late."""
-        granted = account.split()
+        granted = account.grant()
         unused = self.run(granted, depth + 1)
         fate = self.rng.choice(("comes", "comes", "lost", "late"))
         if fate == "comes":
-            account.give_back(unused)
+            account.refund(unused)
         if fate == "late":
             late.append(unused)
 
@@ -86,8 +86,8 @@
         kept = []
         for _ in range(30):
             account = CreditAccount(held)
-            held = account.split()
-            kept.append(account.held)
+            held = account.grant()
+            kept.append(account.balance)
         self.assertEqual(kept[:3], [1, 1, 0])
         self.assertEqual(held, 1)
 
@@ -109,7 +109,7 @@
         with self.assertRaises(CallError):
             accounts.account_for("stock", "key", 1)
         at = 601.0
-        self.assertEqual(accounts.account_for("stock", "key", 1).held, 1)
+        self.assertEqual(accounts.account_for("stock", "key", 1).balance, 1)
         self.assertEqual(len(accounts.keys), 1)
 
 
@@ -140,13 +140,13 @@
             attempts = Attempts()
             made = call()
             while True:
-                granted = account.split()
+                granted = account.grant()
                 choices = set(range(upstreams)) - attempts.tried
                 answer = Answer(200)
                 if rng.random() < 0.55:
                     answer = ended(ErrorKind.TARGET_REJECTED)
                 attempts.ended(rng.choice(sorted(choices)), answer)
-                account.give_back(granted)
+                account.refund(granted)
                 if answer.kind is None:
                     break
                 if not rules.decide(made, answer, attempts, account).again:
@@ -196,7 +196,7 @@
             with self.subTest(kind=kind):
                 expected = ERROR_ANSWERS[kind].elsewhere
                 self.assertEqual(self.retried(ended(kind)), expected)
-                self.assertEqual(self.account.held, 2 - expected)
+                self.assertEqual(self.account.balance, 2 - expected)
 
     def test_unknown_effect_only_when_idempotent(self):
         """An order was placed twice.
@@ -227,7 +227,7 @@
         self.assertTrue(refusal.exhausted)
         self.other = True
         self.assertFalse(self.retried(refusal))
-        self.assertEqual(self.account.held, 2)
+        self.assertEqual(self.account.balance, 2)
 
     def test_unspent_failure_may_be_repeated_above(self):
         self.account = CreditAccount(0)
