--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -375,7 +375,7 @@
         if self.parts.policy().decisions.retries != "credits":
             return
         digest = xxhash.xxh3_64_intdigest(incoming.body.first)
-        live.repeats.note(incoming.service, incoming.method, incoming.path, digest)
+        live.repeats.record(incoming.service, incoming.method, incoming.path, digest)
 
 
 def unknown_service(policy, service):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/tree.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/tree.py
@@ -7,7 +7,7 @@
 
 from papayabay_core.calls import Call
 from papayabay_core.errors import CallError, ErrorKind
-from papayabay_daemon._internal.retries import CreditAccount, RepeatDebit
+from papayabay_daemon._internal.retries import CreditAccount, RetryDetector
 
 MOST_BEFORE_S = 0.004
 MOST_AFTER_S = 0.012
@@ -25,7 +25,7 @@
     call : Call
     account : CreditAccount
         Holds the retry credits of the call and its subtree.
-    repeats : RepeatDebit
+    repeats : RetryDetector
         Finds the target's own repeats among its outgoing calls.
     children : set of asyncio.Task
         Outgoing calls under way.
@@ -39,7 +39,7 @@
 
     call: Call
     account: CreditAccount
-    repeats: RepeatDebit
+    repeats: RetryDetector
     children: set[asyncio.Task] = field(default_factory=set)
     called: set[str] = field(default_factory=set)
     refused_below: bool = False
@@ -70,7 +70,7 @@
         """Return a new token and the live call it stands for."""
         token = f"{self.secret}-{next(self.numbers):x}"
         account = CreditAccount(call.credits)
-        live = LiveCall(call, account, RepeatDebit(account))
+        live = LiveCall(call, account, RetryDetector(account))
         self.live[token] = live
         self.tokens[call.request_id] = token
         return token, live
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/__init__.py
@@ -9,7 +9,7 @@
     RetryRules,
 )
 from papayabay_daemon._internal.retries.ratio import RetryRatio
-from papayabay_daemon._internal.retries.repeats import KeyAccounts, RepeatDebit
+from papayabay_daemon._internal.retries.repeats import KeyAccounts, RetryDetector
 
 __all__ = [
     "AGAIN",
@@ -17,7 +17,7 @@
     "Attempts",
     "CreditAccount",
     "KeyAccounts",
-    "RepeatDebit",
+    "RetryDetector",
     "RetryDecision",
     "RetryRatio",
     "RetryRules",
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/repeats.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/repeats.py
@@ -24,7 +24,7 @@
         raise CallError(ErrorKind.RETRIES_SPENT, detail)
 
 
-class RepeatDebit:
+class RetryDetector:
     """Finds a target's repeats among the outgoing calls of one live call.
 
     One object per parent call, dropped with it. Only the latest `MAX_CALLS`
@@ -42,7 +42,7 @@
         self.account = account
         self.seen = OrderedDict()
 
-    def note(self, service, method, path, body_digest):
+    def record(self, service, method, path, body_digest):
         """Note an outgoing call; debit it when it is a repeat.
 
         Parameters
--- a/tests/unit/daemon/test_retries_rules.py
+++ b/tests/unit/daemon/test_retries_rules.py
@@ -13,7 +13,7 @@
     Attempts,
     CreditAccount,
     KeyAccounts,
-    RepeatDebit,
+    RetryDetector,
     RetryRatio,
     RetryRules,
 )
@@ -92,12 +92,12 @@
         self.assertEqual(held, 1)
 
     def test_target_repeats_are_debited(self):
-        debit = RepeatDebit(CreditAccount(1))
-        debit.note("stock", "GET", "/a", b"x")
-        debit.note("stock", "GET", "/a", b"y")
-        debit.note("stock", "GET", "/a", b"x")
+        detector = RetryDetector(CreditAccount(1))
+        detector.record("stock", "GET", "/a", b"x")
+        detector.record("stock", "GET", "/a", b"y")
+        detector.record("stock", "GET", "/a", b"x")
         with self.assertRaises(CallError) as caught:
-            debit.note("stock", "GET", "/a", b"x")
+            detector.record("stock", "GET", "/a", b"x")
         self.assertEqual(caught.exception.kind, ErrorKind.RETRIES_SPENT)
 
     def test_caller_repeats_share_an_account(self):
