--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -54,14 +54,14 @@
             attempts.ended(member.name, answer)
             decision = self.retries.decide(call, answer, attempts, account)
             self.note_end(call, answer, decision)
-            if not decision.again:
+            if not decision.should_retry:
                 return whole_truth(answer, attempts.doubtful)
             self.parts.counters.retries += 1
-            await asyncio.sleep(decision.pause_s)
+            await asyncio.sleep(decision.backoff_s)
 
     def note_end(self, call, answer, decision):
         """Log what follows a failed attempt, and why."""
-        if answer.kind is None and not decision.again:
+        if answer.kind is None and not decision.should_retry:
             return
         self.parts.log.note(
             "retry",
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/__init__.py
@@ -3,7 +3,7 @@
 from papayabay_daemon._internal.retries.arrivals import ArrivalBudget
 from papayabay_daemon._internal.retries.credits import CreditAccount
 from papayabay_daemon._internal.retries.decision import (
-    AGAIN,
+    RETRY,
     Attempts,
     RetryDecision,
     RetryRules,
@@ -12,7 +12,7 @@
 from papayabay_daemon._internal.retries.repeats import KeyAccounts, RetryDetector
 
 __all__ = [
-    "AGAIN",
+    "RETRY",
     "ArrivalBudget",
     "Attempts",
     "CreditAccount",
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -15,7 +15,7 @@
 LIFE_SHARE = 0.25
 """Largest part of the remaining lifetime that a backoff may take."""
 EXPIRED_STATUS = 504
-AGAIN = "again"
+RETRY = "again"
 """Reason of a decision that lets another attempt follow."""
 KEPT_FROM_TARGET = frozenset(
     {
@@ -94,18 +94,18 @@
     Attributes
     ----------
     reason : str
-        Why none does; `AGAIN` if one does.
-    pause_s : float
+        Why none does; `RETRY` if one does.
+    backoff_s : float
         Seconds to wait before it.
     """
 
     reason: str
-    pause_s: float = 0.0
+    backoff_s: float = 0.0
 
     @property
-    def again(self):
+    def should_retry(self):
         """Whether another attempt follows."""
-        return self.reason == AGAIN
+        return self.reason == RETRY
 
 
 class RetryRules:
@@ -162,14 +162,14 @@
             reason = "attempts"
         elif decisions.retries == "per-hop":
             if may_repeat_per_hop(call, answer, attempts.made, decisions):
-                return RetryDecision(AGAIN, self.pause(call, attempts.made))
+                return RetryDecision(RETRY, self.backoff_s(call, attempts.made))
             return RetryDecision("per-hop")
         else:
             reason = self.objection(call, answer, account, attempts)
         if not reason:
             rejected = answer.kind is ErrorKind.TARGET_REJECTED
             most = MOST_REJECTED_DOUBLINGS if rejected else MAX_PAUSE_DOUBLINGS
-            return RetryDecision(AGAIN, self.pause(call, attempts.made, most))
+            return RetryDecision(RETRY, self.backoff_s(call, attempts.made, most))
         self.stops[reason] += 1
         answer.exhausted = is_exhausted(answer, attempts.made)
         return RetryDecision(reason)
@@ -205,7 +205,7 @@
         again = attempts.forget_rejections()
         return again and self.has_other(call, attempts.tried)
 
-    def pause(self, call, attempts, most_doublings=MAX_PAUSE_DOUBLINGS):
+    def backoff_s(self, call, attempts, most_doublings=MAX_PAUSE_DOUBLINGS):
         """Return a fully jittered pause, a small share of the life left."""
         doublings = min(attempts - 1, most_doublings)
         longest = FIRST_PAUSE_SECONDS * 2**doublings
--- a/tests/unit/daemon/test_dispatch_doubt.py
+++ b/tests/unit/daemon/test_dispatch_doubt.py
@@ -12,7 +12,7 @@
 from papayabay_daemon._internal.calls.parts import CallCounters
 from papayabay_daemon._internal.decision_log import DecisionLog
 from papayabay_daemon._internal.metrics.latencies import Latencies
-from papayabay_daemon._internal.retries import AGAIN, CreditAccount, RetryDecision
+from papayabay_daemon._internal.retries import RETRY, CreditAccount, RetryDecision
 
 
 class ScriptedRouter:
@@ -57,7 +57,7 @@
         pass
 
     def decide(self, call, answer, attempts, account):
-        return RetryDecision(AGAIN if attempts.made < self.attempts else "script")
+        return RetryDecision(RETRY if attempts.made < self.attempts else "script")
 
 
 def browse():
--- a/tests/unit/daemon/test_retries_rules.py
+++ b/tests/unit/daemon/test_retries_rules.py
@@ -149,7 +149,7 @@
                 account.refund(granted)
                 if answer.kind is None:
                     break
-                if not rules.decide(made, answer, attempts, account).again:
+                if not rules.decide(made, answer, attempts, account).should_retry:
                     return False
         return True
 
@@ -188,7 +188,9 @@
 
     def retried(self, answer, a_call=None, attempts=1):
         made = Attempts(made=attempts)
-        return self.rules.decide(a_call or call(), answer, made, self.account).again
+        return self.rules.decide(
+            a_call or call(), answer, made, self.account
+        ).should_retry
 
     def test_by_kind(self):
         for kind in ErrorKind:
@@ -265,6 +267,6 @@
 
     def test_pause_is_bounded_by_life(self):
         short = call(life=0.01)
-        pauses = [self.rules.pause(short, attempts) for attempts in range(1, 40)]
+        pauses = [self.rules.backoff_s(short, attempts) for attempts in range(1, 40)]
         self.assertLessEqual(max(pauses), 0.0025)
-        self.assertLessEqual(self.rules.pause(call(), 1), 0.010)
+        self.assertLessEqual(self.rules.backoff_s(call(), 1), 0.010)
