--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -49,13 +49,13 @@
                 member = self.parts.router.choose(call, attempts.tried)
             except CallError as error:
                 answer = self.no_more_upstreams(call, error, answer)
-                return whole_truth(answer, attempts.doubtful)
+                return whole_truth(answer, attempts.last_possibly_run)
             answer = await self.attempt(member, call, account, attempts)
             attempts.ended(member.name, answer)
             decision = self.retries.decide(call, answer, attempts, account)
             self.note_end(call, answer, decision)
             if not decision.should_retry:
-                return whole_truth(answer, attempts.doubtful)
+                return whole_truth(answer, attempts.last_possibly_run)
             self.parts.counters.retries += 1
             await asyncio.sleep(decision.backoff_s)
 
@@ -94,7 +94,7 @@
         # Only few calls hold credits, and copying one takes as long as
         # choosing its upstream.
         attempt = call
-        repeated = call.repeated or before.arrived
+        repeated = call.repeated or before.reached_target
         if granted != call.credits or repeated != call.repeated:
             attempt = replace(call, credits=granted, repeated=repeated)
         self.parts.counters.attempts += 1
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -45,31 +45,31 @@
         Upstreams that had an attempt and get no other.
     rejected : set of str
         Those of them that turned it away with slots free.
-    arrived : bool
+    reached_target : bool
         Whether any of them reached a target, be it to be turned away.
-    handed_over : int
+    possibly_run : int
         Attempts that a target may have begun to run.
-    doubtful : Answer or None
+    last_possibly_run : Answer or None
         Of the latest of these.
     """
 
     made: int = 0
     tried: set[str] = field(default_factory=set)
     rejected: set[str] = field(default_factory=set)
-    arrived: bool = False
-    handed_over: int = 0
-    doubtful: Answer | None = None
+    reached_target: bool = False
+    possibly_run: int = 0
+    last_possibly_run: Answer | None = None
 
     def ended(self, name, answer):
         """Note how an attempt at an upstream ended."""
         self.made += 1
         self.tried.add(name)
-        self.arrived |= answer.kind not in KEPT_FROM_TARGET
+        self.reached_target |= answer.kind not in KEPT_FROM_TARGET
         if answer.kind is ErrorKind.TARGET_REJECTED:
             self.rejected.add(name)
         if answer.effect is not Effect.NOT_RUN:
-            self.handed_over += 1
-            self.doubtful = answer
+            self.possibly_run += 1
+            self.last_possibly_run = answer
 
     def forget_rejections(self):
         """Admit the upstreams that rejected it as choices again.
@@ -158,7 +158,7 @@
         RetryDecision
         """
         decisions = self.policy_source().decisions
-        if call.attempts and attempts.handed_over >= call.attempts:
+        if call.attempts and attempts.possibly_run >= call.attempts:
             reason = "attempts"
         elif decisions.retries == "per-hop":
             if may_repeat_per_hop(call, answer, attempts.made, decisions):
--- a/tests/unit/daemon/budget_fleet.py
+++ b/tests/unit/daemon/budget_fleet.py
@@ -148,7 +148,7 @@
             self.asked.append(self.at)
         tries = Attempts()
         for daemon in self.rng.choices(self.daemons, k=attempts):
-            repeated = of_repeat or tries.arrived
+            repeated = of_repeat or tries.reached_target
             call = make_call(name, repeated, importance)
             answer = daemon.receive(call)
             if answer.kind is None:
--- a/tests/unit/daemon/test_arrival_budget.py
+++ b/tests/unit/daemon/test_arrival_budget.py
@@ -260,7 +260,7 @@
         attempts = Attempts()
         row = ERROR_ANSWERS[kind]
         attempts.ended("a", Answer(row.status, kind=kind, effect=row.effect))
-        return attempts.arrived
+        return attempts.reached_target
 
     def test_an_attempt_that_no_target_saw_is_no_arrival(self):
         """Repeats were refused for a budget that nobody had drawn on.
