--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -39,7 +39,7 @@
         account : CreditAccount
             Pays for retries, and for what each attempt's subtree may spend.
         """
-        self.retries.first_attempt(call)
+        self.retries.record_first_attempt(call)
         attempts = Attempts()
         answer = None
         while True:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -129,14 +129,14 @@
         self.has_other = has_other
         self.stops = Counter()
 
-    def first_attempt(self, call):
+    def record_first_attempt(self, call):
         """Note the first attempt of a call; it earns toward the ratio.
 
         Calls of a run that was itself a repeat earn nothing: had the run not
         been repeated, they would not come.
         """
         if not call.repeated:
-            self.ratio.first_attempt(call.service)
+            self.ratio.record_first_attempt(call.service)
 
     def decide(self, call, answer, attempts, account):
         """Decide whether another attempt follows, and pay for it.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/ratio.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/ratio.py
@@ -41,7 +41,7 @@
         self.allowed = 0
         self.refused = 0
 
-    def first_attempt(self, service):
+    def record_first_attempt(self, service):
         """Note the first attempt of a call."""
         retries = self.policy_source().retries(service)
         if retries.window_ms is not None:
--- a/tests/unit/daemon/test_dispatch_doubt.py
+++ b/tests/unit/daemon/test_dispatch_doubt.py
@@ -53,7 +53,7 @@
     def __init__(self, attempts):
         self.attempts = attempts
 
-    def first_attempt(self, call):
+    def record_first_attempt(self, call):
         pass
 
     def decide(self, call, answer, attempts, account):
--- a/tests/unit/daemon/test_retries_rules.py
+++ b/tests/unit/daemon/test_retries_rules.py
@@ -119,7 +119,7 @@
         ratio = RetryRatio(Policy, lambda: at)
         self.assertEqual(sum(ratio.allow("stock") for _ in range(9)), 3)
         for _ in range(45):
-            ratio.first_attempt("stock")
+            ratio.record_first_attempt("stock")
         self.assertEqual(sum(ratio.allow("stock") for _ in range(9)), 4)
         at = 60.0
         self.assertEqual(sum(ratio.allow("stock") for _ in range(9)), 3)
@@ -165,7 +165,7 @@
         good = 0
         for _ in range(400):
             for _ in range(40):
-                ratio.first_attempt("stock")
+                ratio.record_first_attempt("stock")
             good += self.chain_ends_well(rng, rules, held)
         return good / 400
 
