--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
@@ -40,7 +40,7 @@
         if not self.parts.policy().decisions.shared_rank:
             call.rank = per_hop_rank(self.parts.random)
         try:
-            with self.parts.quarantine.passing(call):
+            with self.parts.quarantine.guard(call):
                 return await self.run_admitted(call)
         except CallError as error:
             return self.refuse(call, error)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
@@ -62,7 +62,7 @@
         raise CallError(ErrorKind.QUARANTINED, detail, round(ttl_s * 1_000))
 
     @contextmanager
-    def passing(self, call):
+    def guard(self, call):
         """Admit a call to the target, suspects one at a time.
 
         Of two suspects in flight together, a crash could not show which one
@@ -99,7 +99,7 @@
             held_ms=round(self.registry.remaining_ttl(fingerprint) * 1_000),
         )
 
-    def answered(self, call):
+    def record_answer(self, call):
         """Exonerate the request of a call that got a whole answer."""
         if not self.registry.is_empty:
             self.registry.exonerate(self.fingerprints.of(call))
@@ -121,7 +121,7 @@
         """Return the registry's levels, for metrics."""
         return self.registry.levels()
 
-    def listed(self):
+    def list_entries(self):
         """Return the quarantined requests as plain values."""
         return [
             {
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/routes.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/routes.py
@@ -76,7 +76,7 @@
 
     async def held_back(self, query):
         """Return the requests that all daemons hold back."""
-        return {"held": self.quarantine.listed()}
+        return {"held": self.quarantine.list_entries()}
 
     async def lift(self, content):
         """Hold a request back no longer, here and at all daemons."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -143,7 +143,7 @@
         )
         detector = self.target.crash_detector
         detector.listeners.append(self.target_crashed)
-        detector.answer_listeners.append(self.quarantine.answered)
+        detector.answer_listeners.append(self.quarantine.record_answer)
 
     def build_accounts(self):
         """Make what knows client accounts."""
--- a/tests/unit/daemon/budget_fleet.py
+++ b/tests/unit/daemon/budget_fleet.py
@@ -52,7 +52,7 @@
         chains = SimpleNamespace(note=lambda path_key, called: None)
         self.receiver = Receiver(parts, CallTree(), chains, self.budget)
 
-    def passing(self, call):
+    def guard(self, call):
         """Suspect no request."""
         return nullcontext()
 
--- a/tests/unit/daemon/quarantine_fleet.py
+++ b/tests/unit/daemon/quarantine_fleet.py
@@ -132,7 +132,7 @@
                 await ended.wait()
         except TimeoutError:
             if not deadly and self.running.pop(token, None):
-                self.gate.answered(call)
+                self.gate.record_answer(call)
                 self.fleet.answered(call, self)
                 return Answer(200)
         await asyncio.sleep(PROBE_DELAYS_S[0])
--- a/tests/unit/daemon/test_quarantine_fleet.py
+++ b/tests/unit/daemon/test_quarantine_fleet.py
@@ -48,7 +48,7 @@
 
         fleet = self.play(60, scenario)
         self.assertEqual(fleet.late, 0)
-        held = [one.gate.listed() for one in fleet.daemons]
+        held = [one.gate.list_entries() for one in fleet.daemons]
         self.assertNotIn([], held)
 
     def test_it_is_known_after_all_have_restarted(self):
@@ -150,7 +150,7 @@
 
         fleet = self.play(4, scenario)
         self.assertEqual(fleet.wronged, [])
-        self.assertEqual([one.gate.listed() for one in fleet.daemons], [[]] * 4)
+        self.assertEqual([one.gate.list_entries() for one in fleet.daemons], [[]] * 4)
 
 
 class AnyDayTests(unittest.TestCase):
--- a/tests/unit/daemon/test_quarantine_registry.py
+++ b/tests/unit/daemon/test_quarantine_registry.py
@@ -230,7 +230,7 @@
         self.assertIs(caught.exception.kind, ErrorKind.QUARANTINED)
         self.assertEqual(caught.exception.retry_after_ms, 60_000)
         self.gate.check(call(path="/other"))
-        (listed,) = self.gate.listed()
+        (listed,) = self.gate.list_entries()
         self.assertEqual(listed["fingerprint"], self.fingerprint.hex())
         self.assertTrue(self.gate.lift(listed["fingerprint"]))
         self.gate.check(self.deadly)
@@ -246,19 +246,19 @@
         both = self.fingerprint, self.gate.fingerprints.of(other)
         self.end(*both)
         self.end(*both)
-        with self.gate.passing(self.deadly):
-            with self.assertRaises(CallError) as caught, self.gate.passing(other):
+        with self.gate.guard(self.deadly):
+            with self.assertRaises(CallError) as caught, self.gate.guard(other):
                 pass
-            with self.gate.passing(call(path="/third")):
+            with self.gate.guard(call(path="/third")):
                 pass
         self.assertIs(caught.exception.kind, ErrorKind.ISOLATED)
-        with self.gate.passing(other):
+        with self.gate.guard(other):
             pass
 
     def test_nothing_is_hashed_while_nothing_is_suspected(self):
         self.gate.fingerprints = None
         self.gate.check(self.deadly)
-        self.gate.answered(self.deadly)
+        self.gate.record_answer(self.deadly)
 
 
 class TermTests(unittest.TestCase):
