--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/table.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/table.py
@@ -145,12 +145,12 @@
         pool = self.pools[service] = Pool(self.ejections)
         return pool
 
-    def note_doubt(self, name, doubted):
+    def set_link_unresponsive(self, name, unresponsive):
         """Note whether the way to an upstream is in doubt."""
         for pool in self.pools.values():
             known = pool.states.get(name)
             if known is not None:
-                known.doubted = doubted
+                known.link_unresponsive = unresponsive
 
     def started(self, member, call):
         """Note that an attempt was sent."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/upstream.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/upstream.py
@@ -48,7 +48,7 @@
     member : Member
     in_flight : int
         Attempts of this daemon that haven't ended.
-    doubted : bool
+    link_unresponsive : bool
         Whether the link to it owes an answer for long; calls that were sent
         there wait on, and no further ones follow them.
     load : LoadState or None
@@ -61,7 +61,7 @@
     """
 
     __slots__ = (
-        "doubted",
+        "link_unresponsive",
         "ejection",
         "error_at",
         "errors",
@@ -79,7 +79,7 @@
 
     def __init__(self, member, service_hints=None):
         self.in_flight = 0
-        self.doubted = False
+        self.link_unresponsive = False
         self.service_hints = service_hints
         self.ejection = Ejection()
         self.forget(member)
@@ -109,7 +109,7 @@
         return (
             at >= self.leaving_until
             and at >= self.ejection.until
-            and not self.doubted
+            and not self.link_unresponsive
             and self.member.state <= MemberState.SUSPECT
         )
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -120,7 +120,7 @@
         self.asking = TargetAsking(self.settings, self.policy, self.registry, dialect)
         self.keeper.on_change(self.policy_changed)
         self.links.on_leaving(self.membership.mark_leaving)
-        self.links.on_doubt(self.router.note_doubt)
+        self.links.on_doubt(self.router.set_link_unresponsive)
 
     def build_quarantine(self):
         """Make what quarantines requests that crash targets."""
--- a/tests/unit/daemon/test_routing_table.py
+++ b/tests/unit/daemon/test_routing_table.py
@@ -63,9 +63,9 @@
 class ChoiceTests(RoutingCase):
     def test_no_call_follows_others_over_a_link_in_doubt(self):
         self.spread()
-        self.table.note_doubt("u1", True)
+        self.table.set_link_unresponsive("u1", True)
         self.assertNotIn("u1", self.spread())
-        self.table.note_doubt("u1", False)
+        self.table.set_link_unresponsive("u1", False)
         self.assertIn("u1", self.spread())
 
     def test_excluded_and_none_left(self):
