--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -39,7 +39,7 @@
         account : CreditAccount
             Pays for retries, and for what each attempt's subtree may spend.
         """
-        self.retries.first_attempt(call)
+        self.retries.record_first_attempt(call)
         attempts = Attempts()
         answer = None
         while True:
@@ -49,19 +49,19 @@
                 member = self.parts.router.choose(call, attempts.tried)
             except CallError as error:
                 answer = self.no_more_upstreams(call, error, answer)
-                return whole_truth(answer, attempts.doubtful)
+                return whole_truth(answer, attempts.last_possibly_run)
             answer = await self.attempt(member, call, account, attempts)
             attempts.ended(member.name, answer)
             decision = self.retries.decide(call, answer, attempts, account)
             self.note_end(call, answer, decision)
-            if not decision.again:
-                return whole_truth(answer, attempts.doubtful)
+            if not decision.should_retry:
+                return whole_truth(answer, attempts.last_possibly_run)
             self.parts.counters.retries += 1
-            await asyncio.sleep(decision.pause_s)
+            await asyncio.sleep(decision.backoff_s)
 
     def note_end(self, call, answer, decision):
         """Log what follows a failed attempt, and why."""
-        if answer.kind is None and not decision.again:
+        if answer.kind is None and not decision.should_retry:
             return
         self.parts.log.note(
             "retry",
@@ -90,11 +90,11 @@
         before : Attempts
             Those made before.
         """
-        granted = account.split()
+        granted = account.grant()
         # Only few calls hold credits, and copying one takes as long as
         # choosing its upstream.
         attempt = call
-        repeated = call.repeated or before.arrived
+        repeated = call.repeated or before.reached_target
         if granted != call.credits or repeated != call.repeated:
             attempt = replace(call, credits=granted, repeated=repeated)
         self.parts.counters.attempts += 1
@@ -113,7 +113,7 @@
             self.parts.router.ended(member, call, answer, elapsed)
             self.parts.latencies.attempt_ended(call.path_key, answer, elapsed)
             log.attempt(call, before.made + 1, known, answer, elapsed)
-        account.give_back(min(answer.credits_left, granted))
+        account.refund(min(answer.credits_left, granted))
         return answer
 
     async def send(self, member, call):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
@@ -40,7 +40,7 @@
         if not self.parts.policy().decisions.shared_rank:
             call.rank = per_hop_rank(self.parts.random)
         try:
-            with self.parts.quarantine.passing(call):
+            with self.parts.quarantine.guard(call):
                 return await self.run_admitted(call)
         except CallError as error:
             return self.refuse(call, error)
@@ -50,9 +50,9 @@
         self.check_service(call)
         account = self.budget.check(call)
         ticket = await self.admit(call, account)
-        self.budget.arrived(call, account)
+        self.budget.record_arrival(call, account)
         answer = await self.hand_over(call, ticket)
-        self.budget.ended(call, account, answer)
+        self.budget.record_end(call, account, answer)
         return answer
 
     def refuse(self, call, error):
@@ -83,7 +83,7 @@
         except BaseException:
             if ticket is not None:
                 ticket.finish(None)
-            self.budget.give_back(call, account)
+            self.budget.release(call, account)
             raise
         return ticket
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -15,7 +15,7 @@
 LIFE_SHARE = 0.25
 """Largest part of the remaining lifetime that a backoff may take."""
 EXPIRED_STATUS = 504
-AGAIN = "again"
+RETRY = "again"
 """Reason of a decision that lets another attempt follow."""
 KEPT_FROM_TARGET = frozenset(
     {
@@ -45,31 +45,31 @@
         Upstreams that had an attempt and get no other.
     rejected : set of str
         Those of them that turned it away with slots free.
-    arrived : bool
+    reached_target : bool
         Whether any of them reached a target, be it to be turned away.
-    handed_over : int
+    possibly_run : int
         Attempts that a target may have begun to run.
-    doubtful : Answer or None
+    last_possibly_run : Answer or None
         Of the latest of these.
     """
 
     made: int = 0
     tried: set[str] = field(default_factory=set)
     rejected: set[str] = field(default_factory=set)
-    arrived: bool = False
-    handed_over: int = 0
-    doubtful: Answer | None = None
+    reached_target: bool = False
+    possibly_run: int = 0
+    last_possibly_run: Answer | None = None
 
     def ended(self, name, answer):
         """Note how an attempt at an upstream ended."""
         self.made += 1
         self.tried.add(name)
-        self.arrived |= answer.kind not in KEPT_FROM_TARGET
+        self.reached_target |= answer.kind not in KEPT_FROM_TARGET
         if answer.kind is ErrorKind.TARGET_REJECTED:
             self.rejected.add(name)
         if answer.effect is not Effect.NOT_RUN:
-            self.handed_over += 1
-            self.doubtful = answer
+            self.possibly_run += 1
+            self.last_possibly_run = answer
 
     def forget_rejections(self):
         """Admit the upstreams that rejected it as choices again.
@@ -94,18 +94,18 @@
     Attributes
     ----------
     reason : str
-        Why none does; `AGAIN` if one does.
-    pause_s : float
+        Why none does; `RETRY` if one does.
+    backoff_s : float
         Seconds to wait before it.
     """
 
     reason: str
-    pause_s: float = 0.0
+    backoff_s: float = 0.0
 
     @property
-    def again(self):
+    def should_retry(self):
         """Whether another attempt follows."""
-        return self.reason == AGAIN
+        return self.reason == RETRY
 
 
 class RetryRules:
@@ -129,14 +129,14 @@
         self.has_other = has_other
         self.stops = Counter()
 
-    def first_attempt(self, call):
+    def record_first_attempt(self, call):
         """Note the first attempt of a call; it earns toward the ratio.
 
         Calls of a run that was itself a repeat earn nothing: had the run not
         been repeated, they would not come.
         """
         if not call.repeated:
-            self.ratio.first_attempt(call.service)
+            self.ratio.record_first_attempt(call.service)
 
     def decide(self, call, answer, attempts, account):
         """Decide whether another attempt follows, and pay for it.
@@ -158,18 +158,18 @@
         RetryDecision
         """
         decisions = self.policy_source().decisions
-        if call.attempts and attempts.handed_over >= call.attempts:
+        if call.attempts and attempts.possibly_run >= call.attempts:
             reason = "attempts"
         elif decisions.retries == "per-hop":
             if may_repeat_per_hop(call, answer, attempts.made, decisions):
-                return RetryDecision(AGAIN, self.pause(call, attempts.made))
+                return RetryDecision(RETRY, self.backoff_s(call, attempts.made))
             return RetryDecision("per-hop")
         else:
             reason = self.objection(call, answer, account, attempts)
         if not reason:
             rejected = answer.kind is ErrorKind.TARGET_REJECTED
             most = MOST_REJECTED_DOUBLINGS if rejected else MAX_PAUSE_DOUBLINGS
-            return RetryDecision(AGAIN, self.pause(call, attempts.made, most))
+            return RetryDecision(RETRY, self.backoff_s(call, attempts.made, most))
         self.stops[reason] += 1
         answer.exhausted = is_exhausted(answer, attempts.made)
         return RetryDecision(reason)
@@ -191,7 +191,7 @@
         if not self.has_another(call, attempts):
             return "no-other"
         # Checked before the ratio spends a token that no retry would use.
-        if account.held < 1:
+        if account.balance < 1:
             return "no-credit"
         if not self.ratio.allow(call.service):
             return "ratio"
@@ -205,7 +205,7 @@
         again = attempts.forget_rejections()
         return again and self.has_other(call, attempts.tried)
 
-    def pause(self, call, attempts, most_doublings=MAX_PAUSE_DOUBLINGS):
+    def backoff_s(self, call, attempts, most_doublings=MAX_PAUSE_DOUBLINGS):
         """Return a fully jittered pause, a small share of the life left."""
         doublings = min(attempts - 1, most_doublings)
         longest = FIRST_PAUSE_SECONDS * 2**doublings
