--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/parts.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/components.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Parts:
+class CallComponents:
     """The neighbours of the call flow.
 
     Attributes
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -19,14 +19,14 @@
 
     Parameters
     ----------
-    parts : Parts
+    components : CallComponents
     receiver : Receiver
         Takes the calls that this daemon's own target is chosen for.
     retries : RetryRules
     """
 
-    def __init__(self, parts, receiver, retries):
-        self.parts = parts
+    def __init__(self, components, receiver, retries):
+        self.components = components
         self.receiver = receiver
         self.retries = retries
 
@@ -44,9 +44,9 @@
         answer = None
         while True:
             try:
-                self.parts.accounts.check(call)
-                self.parts.quarantine.check(call)
-                member = self.parts.router.choose(call, attempts.tried)
+                self.components.accounts.check(call)
+                self.components.quarantine.check(call)
+                member = self.components.router.choose(call, attempts.tried)
             except CallError as error:
                 answer = self.no_more_upstreams(call, error, answer)
                 return whole_truth(answer, attempts.doubtful)
@@ -56,14 +56,14 @@
             self.note_end(call, answer, decision)
             if not decision.again:
                 return whole_truth(answer, attempts.doubtful)
-            self.parts.counters.retries += 1
+            self.components.counters.retries += 1
             await asyncio.sleep(decision.pause_s)
 
     def note_end(self, call, answer, decision):
         """Log what follows a failed attempt, and why."""
         if answer.kind is None and not decision.again:
             return
-        self.parts.log.note(
+        self.components.log.note(
             "retry",
             call.request_id,
             outcome=decision.reason,
@@ -97,11 +97,11 @@
         repeated = call.repeated or before.arrived
         if granted != call.credits or repeated != call.repeated:
             attempt = replace(call, credits=granted, repeated=repeated)
-        self.parts.counters.attempts += 1
+        self.components.counters.attempts += 1
         # What is known has to be read before the attempt changes it.
-        log = self.parts.log
-        known = self.parts.router.explain(member, call) if log.is_on else None
-        self.parts.router.started(member, call)
+        log = self.components.log
+        known = self.components.router.explain(member, call) if log.is_on else None
+        self.components.router.started(member, call)
         started = now()
         answer = None
         try:
@@ -110,8 +110,8 @@
             answer = error_answer(error)
         finally:
             elapsed = now() - started
-            self.parts.router.ended(member, call, answer, elapsed)
-            self.parts.latencies.attempt_ended(call.path_key, answer, elapsed)
+            self.components.router.ended(member, call, answer, elapsed)
+            self.components.latencies.attempt_ended(call.path_key, answer, elapsed)
             log.attempt(call, before.made + 1, known, answer, elapsed)
         account.give_back(min(answer.credits_left, granted))
         return answer
@@ -127,11 +127,11 @@
         remaining = call.remaining()
         if remaining <= 0:
             raise CallError(ErrorKind.EXPIRED_UNSENT)
-        if member.name == self.parts.local.name:
+        if member.name == self.components.local.name:
             return await self.receiver.receive(call, member.name)
         try:
             with LifeTimeout(remaining + ANSWER_GRACE_SECONDS):
-                return await self.parts.links.call(member, call)
+                return await self.components.links.call(member, call)
         except TimeoutError:
             raise CallError(ErrorKind.EXPIRED) from None
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -28,7 +28,7 @@
 
     Parameters
     ----------
-    parts : Parts
+    components : CallComponents
     tree : CallTree
     dispatcher : Dispatcher
     gate : IdempotencyGate
@@ -41,8 +41,8 @@
         Refuses what waited unread while this process was stopped.
     """
 
-    def __init__(self, parts, tree, dispatcher, gate, accounts, objectives, pause):
-        self.parts = parts
+    def __init__(self, components, tree, dispatcher, gate, accounts, objectives, pause):
+        self.components = components
         self.tree = tree
         self.dispatcher = dispatcher
         self.gate = gate
@@ -66,7 +66,7 @@
         Answer
             Always; errors too, with the request's identifier.
         """
-        self.parts.counters.entered += 1
+        self.components.counters.entered += 1
         request_id = incoming.request_id or new_identifier()
         started = now()
         rule = None
@@ -79,14 +79,14 @@
         except CallError as error:
             answer = error_answer(error)
         except asyncio.CancelledError:
-            self.parts.counters.left += 1
+            self.components.counters.left += 1
             raise
         finally:
             self.end()
         elapsed = now() - started
         self.count(rule, answer, elapsed)
         if answer.kind is not None:
-            self.parts.log.ended(
+            self.components.log.ended(
                 request_id,
                 answer,
                 method=incoming.method,
@@ -115,7 +115,7 @@
         """Return the policy's rule for a call; refuse a strange service."""
         if self.refusing and not incoming.call_token:
             raise CallError(ErrorKind.LEAVING, "this entry is leaving")
-        policy = self.parts.policy()
+        policy = self.components.policy()
         if incoming.host:
             return self.route(policy, incoming)
         if not policy.knows(incoming.service):
@@ -127,7 +127,7 @@
         route = policy.routes.find(incoming.host, incoming.path)
         if route is None:
             raise unknown_service(policy, "no route takes this host and path")
-        rule = route.pick(self.parts.random)
+        rule = route.pick(self.components.random)
         incoming.service = rule.service
         return rule
 
@@ -136,7 +136,7 @@
         if incoming.call_token:
             live = self.tree.find(incoming.call_token)
             return await self.run_child(incoming, rule, live)
-        identity = await self.parts.accounts.authenticate(incoming, rule)
+        identity = await self.components.accounts.authenticate(incoming, rule)
         call = self.entry_call(incoming, rule, request_id, identity)
         if identity is None:
             return await self.run_root(call, rule)
@@ -151,16 +151,16 @@
         would use up the limits of accounts that are served little.
         """
         if account.limit is not None:
-            self.parts.router.check(call)
-        await self.parts.limits.take(account, rule)
+            self.components.router.check(call)
+        await self.components.limits.take(account, rule)
         answer = await self.run_root(call, rule)
         if answer.effect is Effect.NOT_RUN:
-            self.parts.limits.give_back(account)
+            self.components.limits.give_back(account)
         return answer
 
     async def run_root(self, call, rule):
         """Run the root call of a request."""
-        if not self.parts.policy().decisions.deadlines:
+        if not self.components.policy().decisions.deadlines:
             return await self.run_to_the_end(call, rule)
         return await self.run(call, rule, None)
 
@@ -201,7 +201,7 @@
         CallError
             RETRIES_SPENT for a caller's repeat beyond the credits.
         """
-        if self.parts.policy().decisions.retries != "credits":
+        if self.components.policy().decisions.retries != "credits":
             return CreditAccount(call.credits)
         return self.accounts.account_for(
             call.service, call.idempotency_key, call.credits
@@ -215,7 +215,7 @@
         Answer
             Always; errors too.
         """
-        self.parts.counters.forwarded += 1
+        self.components.counters.forwarded += 1
         self.begin()
         try:
             return await answer_or_error(self.gate.forwarded(call, peer))
@@ -239,7 +239,7 @@
         identity : Identity or None
             The class of its account takes precedence over the rule's.
         """
-        decisions = self.parts.policy().decisions
+        decisions = self.components.policy().decisions
         life = entry_deadline(rule, incoming.deadline_ms)
         if not decisions.deadlines:
             life = UNLIMITED_SECONDS
@@ -273,10 +273,10 @@
     def count(self, rule, answer, elapsed):
         """Count a request's end by kind, and against its objective."""
         name = answer.kind.name if answer.kind else "ANSWERED"
-        answered = self.parts.counters.answered
+        answered = self.components.counters.answered
         answered[name] = answered.get(name, 0) + 1
         if rule is not None:
-            self.parts.latencies.request_ended(rule.path_key, answer, elapsed)
+            self.components.latencies.request_ended(rule.path_key, answer, elapsed)
             self.objectives.note(rule, answer, elapsed)
 
     async def call_out(self, incoming):
@@ -301,9 +301,9 @@
         one by one: a request that makes nine calls, each refused with one
         chance in ten, would hardly ever end well.
         """
-        if not self.parts.settings.calls.infer_parents:
+        if not self.components.settings.calls.infer_parents:
             return
-        if self.parts.accounts.is_on:
+        if self.components.accounts.is_on:
             self.find_parent(incoming)
             return
         expires_at = None
@@ -330,7 +330,7 @@
 
     async def run_child(self, incoming, rule, live):
         """Run a call that the own target makes for a live one."""
-        self.parts.counters.outgoing += 1
+        self.components.counters.outgoing += 1
         call = self.child_call(incoming, rule, live.call)
         live.called.add(rule.path_key)
         answer = await answer_or_error(
@@ -342,7 +342,7 @@
     def child_call(self, incoming, rule, parent):
         """Return the call that a target makes for a live one."""
         depth = parent.depth + 1
-        if depth > self.parts.settings.limits.depth:
+        if depth > self.components.settings.limits.depth:
             raise CallError(ErrorKind.TOO_DEEP)
         life = entry_deadline(rule, incoming.deadline_ms)
         return Call(
@@ -372,7 +372,7 @@
         Targets that retry on their own would multiply retries at each hop,
         unseen by any daemon but the one beside them.
         """
-        if self.parts.policy().decisions.retries != "credits":
+        if self.components.policy().decisions.retries != "credits":
             return
         digest = xxhash.xxh3_64_intdigest(incoming.body.first)
         live.repeats.note(incoming.service, incoming.method, incoming.path, digest)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
@@ -10,14 +10,14 @@
 
     Parameters
     ----------
-    parts : Parts
+    components : CallComponents
     tree : CallTree
     chains : ChainModel
     budget : ArrivalBudget
     """
 
-    def __init__(self, parts, tree, chains, budget):
-        self.parts = parts
+    def __init__(self, components, tree, chains, budget):
+        self.components = components
         self.budget = budget
         self.tree = tree
         self.chains = chains
@@ -36,11 +36,11 @@
         Answer
             Always; errors are answers here, since they travel back on links.
         """
-        self.parts.counters.received += 1
-        if not self.parts.policy().decisions.shared_rank:
-            call.rank = per_hop_rank(self.parts.random)
+        self.components.counters.received += 1
+        if not self.components.policy().decisions.shared_rank:
+            call.rank = per_hop_rank(self.components.random)
         try:
-            with self.parts.quarantine.passing(call):
+            with self.components.quarantine.passing(call):
                 return await self.run_admitted(call)
         except CallError as error:
             return self.refuse(call, error)
@@ -57,8 +57,8 @@
 
     def refuse(self, call, error):
         """Return the answer to a call that the target never saw."""
-        load = self.parts.admission.load(call.path_key)
-        self.parts.log.note(
+        load = self.components.admission.load(call.path_key)
+        self.components.log.note(
             "admission",
             call.request_id,
             outcome=error.kind.name.lower(),
@@ -76,10 +76,10 @@
         """Wait for a slot; a call that gets none has not arrived."""
         ticket = None
         try:
-            ticket = await self.parts.admission.admit(call)
+            ticket = await self.components.admission.admit(call)
             # While it waited in line, a target elsewhere may have ended under
             # the same request.
-            self.parts.quarantine.check(call)
+            self.components.quarantine.check(call)
         except BaseException:
             if ticket is not None:
                 ticket.finish(None)
@@ -94,7 +94,7 @@
         this VM now serves something else; its calls must not reach another
         service's target.
         """
-        target = self.parts.registry.current
+        target = self.components.registry.current
         if target is None or target.service != call.service:
             raise CallError(ErrorKind.TARGET_UNREACHABLE, "not announced here")
 
@@ -103,7 +103,7 @@
         token, live = self.tree.begin(call)
         answer = None
         try:
-            answer = await self.parts.target.run(call, token)
+            answer = await self.components.target.run(call, token)
         except CallError as error:
             answer = error_answer(error)
         finally:
@@ -118,7 +118,7 @@
         # too; no daemon above need try.
         answer.exhausted |= live.refused_below and answer.failed
         answer.credits_left = live.account.close()
-        answer.load = self.parts.admission.load(call.path_key)
+        answer.load = self.components.admission.load(call.path_key)
         return answer
 
     async def finish_after(self, rest, token, live, ticket, answer):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
@@ -15,7 +15,7 @@
         Its doors and supervisors need not be there before a source is called.
     """
     return {
-        "calls": partial(asdict, daemon.parts.counters),
+        "calls": partial(asdict, daemon.call_components.counters),
         "admission": daemon.admission.counters.plain,
         "links": daemon.links.counters.as_dict,
         "routing": partial(dict, daemon.router.counters),
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -12,9 +12,9 @@
 )
 from papayabay_daemon._internal.admission import AdmissionInputs, make_admission
 from papayabay_daemon._internal.calls.chains import ChainModel
+from papayabay_daemon._internal.calls.components import CallComponents, CallCounters
 from papayabay_daemon._internal.calls.dispatch import Dispatcher
 from papayabay_daemon._internal.calls.flow import CallFlow
-from papayabay_daemon._internal.calls.parts import CallCounters, Parts
 from papayabay_daemon._internal.calls.pause import PauseWatch
 from papayabay_daemon._internal.calls.receive import Receiver
 from papayabay_daemon._internal.calls.tree import CallTree
@@ -168,7 +168,7 @@
 
     def build_calls(self):
         """Make the call flow."""
-        self.parts = Parts(
+        self.call_components = CallComponents(
             settings=self.settings,
             local=self.membership.local,
             policy=self.policy,
@@ -190,8 +190,8 @@
         chains = ChainModel(self.router)
         self.admission.ask_below(chains.closed_paths)
         self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstreams)
-        receiver = Receiver(self.parts, self.tree, chains, self.arrivals)
-        dispatcher = Dispatcher(self.parts, receiver, self.retries)
+        receiver = Receiver(self.call_components, self.tree, chains, self.arrivals)
+        dispatcher = Dispatcher(self.call_components, receiver, self.retries)
         self.gate = IdempotencyGate(
             self.settings,
             self.membership.local,
@@ -202,7 +202,7 @@
         self.objectives = ObjectiveCounters()
         self.pause = PauseWatch()
         self.flow = CallFlow(
-            self.parts,
+            self.call_components,
             self.tree,
             dispatcher,
             self.gate,
@@ -223,7 +223,7 @@
         )
         self.listeners = self.environment.listeners(self)
         if settings.metrics.host is not None:
-            sources = self.parts.latencies, self.metrics.totals, self.levels
+            sources = self.call_components.latencies, self.metrics.totals, self.levels
             self.listeners.append(MetricsDoor(settings, *sources))
         routes = StatusRoutes(self)
         self.status_door = StatusDoor(settings, routes.reads(), routes.writes())
--- a/tests/unit/daemon/test_dispatch_doubt.py
+++ b/tests/unit/daemon/test_dispatch_doubt.py
@@ -8,8 +8,8 @@
 from papayabay_core.importance import Importance
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.calls.answers import error_answer
+from papayabay_daemon._internal.calls.components import CallCounters
 from papayabay_daemon._internal.calls.dispatch import Dispatcher
-from papayabay_daemon._internal.calls.parts import CallCounters
 from papayabay_daemon._internal.decision_log import DecisionLog
 from papayabay_daemon._internal.metrics.latencies import Latencies
 from papayabay_daemon._internal.retries import AGAIN, CreditAccount, RetryDecision
