--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claimed.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claimed.py
@@ -52,7 +52,7 @@
         scope = (call.service, call.idempotency_key)
         digest = keys.call_digest(call)
         self.held.release_due()
-        entry = self.state.known.get(scope)
+        entry = self.state.key_table.get(scope)
         if entry is not None and scope in self.held.entries:
             if entry.digest == digest:
                 return await self.run_held(scope, entry, call, dispatch)
@@ -61,7 +61,7 @@
             self.held.release(scope, entry)
         if entry is not None and entry.state is KeyState.RELEASING:
             await self.wait_released(entry, call)
-            entry = self.state.known.get(scope)
+            entry = self.state.key_table.get(scope)
         if entry is not None:
             return await self.repeats.repeat(entry, call, digest, may_forward)
         holder = self.holders.get(scope) if may_forward else None
@@ -97,14 +97,14 @@
         self.state.check_open()
         self.would_take(call)
         try:
-            entry = self.state.known.add(scope, digest)
+            entry = self.state.key_table.add(scope, digest)
         except CallError:
             self.held.release_first()
             raise
         try:
             self.state.claims.admit()
         except CallError:
-            self.state.known.remove(scope, entry)
+            self.state.key_table.remove(scope, entry)
             raise
         return entry
 
@@ -143,13 +143,13 @@
             self.settling.release(scope, entry, claim)
             return CallError(ErrorKind.STORE_UNAVAILABLE, "the claim is unclear")
         except CallError as error:
-            self.state.known.remove(scope, entry)
+            self.state.key_table.remove(scope, entry)
             return error
         except asyncio.CancelledError:
             entry.state = KeyState.UNKNOWN
             raise
         if other is not None:
-            self.state.known.remove(scope, entry)
+            self.state.key_table.remove(scope, entry)
             return other
         return await self.attempt(scope, entry, claim, call, dispatch)
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -53,7 +53,7 @@
     claims : ClaimStore
         Its `counters` hold ``writes``, ``outcome_writes``, ``reads``,
         ``ambiguous``, ``refused`` and ``claims_held_back``.
-    known : KeyTable
+    key_table : KeyTable
         What is remembered of keys.
     held : dict
         Entries of claims that were not run, the longest held first.
@@ -71,9 +71,9 @@
         self.clock = clock
         self.mint_keys = mint_keys
         self.claims = ClaimStore(table, clock, sleep, timeout)
-        self.known = KeyTable(clock)
+        self.key_table = KeyTable(clock)
         self.state = GateState(
-            local, links, members, clock, mint_keys, self.claims, self.known
+            local, links, members, clock, mint_keys, self.claims, self.key_table
         )
         self.counters = self.state.counters
         self.tasks = self.state.tasks
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
@@ -36,7 +36,7 @@
         """Run a call whose key is bound to this process."""
         scope = (call.service, call.idempotency_key)
         digest = keys.call_digest(call)
-        entry = self.state.known.get(scope)
+        entry = self.state.key_table.get(scope)
         if entry is not None:
             return await self.repeats.repeat(entry, call, digest, may_forward=False)
         expires_at = home.issued_ms / 1000 + keys.HOME_KEY_LIFE
@@ -45,7 +45,7 @@
             # now could be the second time, and nothing would show it.
             raise CallError(ErrorKind.OUTCOME_UNKNOWN, "the key is too old")
         self.state.check_open()
-        entry = self.state.known.add(scope, digest)
+        entry = self.state.key_table.add(scope, digest)
         attempt = self.attempt(scope, entry, call, dispatch, expires_at)
         return await self.runner.start(entry, attempt)
 
@@ -53,9 +53,9 @@
         """Make the attempt of a home-bound key."""
         result = await self.runner.dispatch(entry, call, dispatch)
         if entry.state is KeyState.HELD:
-            self.state.known.remove(scope, entry)
+            self.state.key_table.remove(scope, entry)
         else:
-            self.state.known.retire(scope, entry, expires_at)
+            self.state.key_table.retire(scope, entry, expires_at)
         return result
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
@@ -101,7 +101,7 @@
         one forgets an undecided claim only after the row told its outcome,
         so a row that still shows it claimed was read stale.
         """
-        entry = self.state.known.get((call.service, call.idempotency_key))
+        entry = self.state.key_table.get((call.service, call.idempotency_key))
         ours = claim.life == self.state.mint_keys.life
         if entry is not None and ours:
             return await self.repeat(entry, call, digest, may_forward=False)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/running.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/running.py
@@ -91,7 +91,7 @@
         else:
             entry.state = KeyState.DONE
             if answer.body.whole:
-                self.state.known.keep_answer(entry, answers.to_bytes(answer))
+                self.state.key_table.keep_answer(entry, answers.to_bytes(answer))
         if not entry.streams:
             await answers.close_rest(answer.body)
         return answer
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/settling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/settling.py
@@ -46,12 +46,12 @@
         """Write a claim's outcome, then let its entry go."""
         await self.state.claims.settle(claim_key(*scope), claim)
         if claim.state is ClaimState.OPEN:
-            self.state.known.remove(scope, entry)
+            self.state.key_table.remove(scope, entry)
             entry.released.set()
         else:
             in_row = claim.answer is not None or entry.answer is None
             memory = CLAIM_MEMORY if in_row else LARGE_ANSWER_MEMORY
-            self.state.known.retire(scope, entry, self.state.clock() + memory)
+            self.state.key_table.retire(scope, entry, self.state.clock() + memory)
 
 
 def row_state(entry):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/state.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/state.py
@@ -26,7 +26,7 @@
         Returns seconds.
     mint_keys : KeyMint
     claims : ClaimStore
-    known : KeyTable
+    key_table : KeyTable
     counters : Counter
     tasks : set of asyncio.Task
         Attempts and writes that go on.
@@ -40,7 +40,7 @@
     clock: Callable[[], float]
     mint_keys: KeyMint
     claims: ClaimStore
-    known: KeyTable
+    key_table: KeyTable
     counters: Counter = field(default_factory=Counter)
     tasks: set[asyncio.Task] = field(default_factory=set)
     closing: bool = False
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
@@ -37,7 +37,7 @@
 
 def key_counters(gate):
     """Return what was counted of keys, and of the table of them."""
-    return {**gate.counters, **gate.known.counters}
+    return {**gate.counters, **gate.key_table.counters}
 
 
 def quarantine_counters(daemon):
--- a/tests/unit/daemon/test_counter_sources.py
+++ b/tests/unit/daemon/test_counter_sources.py
@@ -25,7 +25,7 @@
         Sequence: parts count, nobody lists them as a source of metrics.
         """
         daemon = self.daemon
-        daemon.gate.known.counters["full"] += 2
+        daemon.gate.key_table.counters["full"] += 2
         daemon.caller_door.counters["refused"] += 3
         daemon.target.notices.counters["dropped"] += 4
         daemon.keeper.counts["pulls"] += 5
--- a/tests/unit/daemon/test_idempotency_held.py
+++ b/tests/unit/daemon/test_idempotency_held.py
@@ -122,7 +122,7 @@
         self.cluster.members["a"].state = MemberState.DEAD
         for key in keys_held:
             self.assertEqual((await self.run_at("b", key)).status, 201)
-        self.assertEqual(len(gate.known.entries), 0)
+        self.assertEqual(len(gate.key_table.entries), 0)
 
     async def test_closing_gate_starts_no_held_attempt(self):
         for key in ("old", "new"):
@@ -171,8 +171,8 @@
 
     async def test_full_table_gives_held_claims_back(self):
         await self.refuse("a", "own")
-        known = self.cluster.gates["a"].known
-        known.max_bytes = known.bytes
+        key_table = self.cluster.gates["a"].key_table
+        key_table.max_bytes = key_table.bytes
         self.assertIs(await self.kind_at("a", "another"), ErrorKind.OVERLOADED)
         await self.settled()
         self.assertEqual((await self.run_at("a", "another")).status, 201)
@@ -230,7 +230,7 @@
         joined.cancel()
         await asyncio.gather(first, joined, return_exceptions=True)
         await self.target.started.wait()
-        self.assertEqual(gate.known.get(("orders", "own")).waiters, 1)
+        self.assertEqual(gate.key_table.get(("orders", "own")).waiters, 1)
         self.target.go.set()
         answer = await second
         self.assertEqual(closed, [])
@@ -248,5 +248,5 @@
             await self.run_at("a", "own")
         self.assertEqual(caught.exception.retry_after_ms, 700)
         self.assertNotIn(claim_key("orders", "own"), self.cluster.table.rows)
-        self.assertIsNone(gate.known.get(("orders", "own")))
+        self.assertIsNone(gate.key_table.get(("orders", "own")))
         self.assertEqual((await self.run_at("a", "known")).status, 201)
--- a/tests/unit/daemon/test_idempotency_keys.py
+++ b/tests/unit/daemon/test_idempotency_keys.py
@@ -34,17 +34,17 @@
         self.assertEqual(self.target.effects, 0)
 
     async def test_full_table_refuses_rather_than_forgets(self):
-        known = self.cluster.gates["a"].known
-        known.max_bytes = 1
+        key_table = self.cluster.gates["a"].key_table
+        key_table.max_bytes = 1
         keys = [self.cluster.gates["a"].mint() for _ in range(2)]
         await self.run_at("a", keys[0])
         self.assertIs(await self.kind_at("a", keys[1]), ErrorKind.OVERLOADED)
         self.assertEqual((await self.run_at("a", keys[0])).body.first, b"done 1")
         self.cluster.clock.time += 901 + attempts.BUCKET_SECONDS
-        known.drop_expired()
+        key_table.drop_expired()
         kind = await self.kind_at("a", keys[0])
         self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
-        self.assertEqual(known.bytes, 0)
+        self.assertEqual(key_table.bytes, 0)
 
 
 class HomeTests(GateCase):
