--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -207,7 +207,7 @@
             call.service, call.idempotency_key, call.credits
         )
 
-    async def forwarded(self, call, peer):
+    async def handle_forwarded(self, call, peer):
         """Answer a call that a peer forwarded to its key's home.
 
         Returns
@@ -218,7 +218,7 @@
         self.components.counters.forwarded += 1
         self.begin()
         try:
-            return await answer_or_error(self.gate.forwarded(call, peer))
+            return await answer_or_error(self.gate.handle_forwarded(call, peer))
         finally:
             self.end()
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -22,7 +22,7 @@
 
 
 async def no_dispatch(call):
-    """Refuse a forwarded call before `handle_forwarded` was called."""
+    """Refuse a forwarded call before `set_forwarded_dispatch` was called."""
     raise CallError(ErrorKind.LEAVING, "this daemon takes no forwarded calls")
 
 
@@ -95,7 +95,7 @@
         self.held = self.held_claims.entries
         self.holders = hints.names
 
-    def handle_forwarded(self, dispatch):
+    def set_forwarded_dispatch(self, dispatch):
         """Set what sends on calls that other daemons forward to this one."""
         self.forwarded_dispatch = dispatch
 
@@ -158,7 +158,7 @@
             return await self.home.run(call, home, dispatch)
         return await self.home.forward(call, home)
 
-    async def forwarded(self, call, peer):
+    async def handle_forwarded(self, call, peer):
         """Run or answer a call that a peer forwarded to this daemon.
 
         It is never forwarded again, whatever the two daemons believe of the
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -210,9 +210,9 @@
             self.objectives,
             self.pause,
         )
-        self.gate.handle_forwarded(self.flow.dispatch_forwarded)
+        self.gate.set_forwarded_dispatch(self.flow.dispatch_forwarded)
         self.gate.check_before_claim(self.router.check)
-        self.links.handle_calls(receiver.receive, self.flow.forwarded)
+        self.links.handle_calls(receiver.receive, self.flow.handle_forwarded)
 
     def build_doors(self):
         """Make what listens, and the accounts that the daemon gives."""
--- a/tests/unit/daemon/idempotency_support.py
+++ b/tests/unit/daemon/idempotency_support.py
@@ -97,7 +97,7 @@
         self.gates[name] = IdempotencyGate(
             SETTINGS, member, self.table, self, self, self.clock, self.clock.sleep
         )
-        self.gates[name].handle_forwarded(self.gates_dispatch)
+        self.gates[name].set_forwarded_dispatch(self.gates_dispatch)
 
     async def gates_dispatch(self, call):
         return await self.target.run(call)
@@ -108,7 +108,7 @@
     async def forward(self, peer, call):
         if self.cut:
             raise CallError(ErrorKind.LINK_UNAVAILABLE)
-        return await self.gates[peer.name].forwarded(call, "peer")
+        return await self.gates[peer.name].handle_forwarded(call, "peer")
 
     def call(self, key, body=b"order", life=5.0):
         return Call(
--- a/tests/unit/daemon/test_idempotency_interleaving.py
+++ b/tests/unit/daemon/test_idempotency_interleaving.py
@@ -101,7 +101,7 @@
                         cluster.table.apply(cluster.table.late.pop())
 
         def prepare(gate):
-            gate.handle_forwarded(dispatch)
+            gate.set_forwarded_dispatch(dispatch)
             if not limited:
                 gate.claims.budget.admit = lambda: None
             if small:
