--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claimed.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claimed.py
@@ -13,7 +13,7 @@
 )
 
 
-def take_all(call):
+def accept_all(call):
     """Let every call try for its claim."""
 
 
@@ -33,8 +33,8 @@
 
     Attributes
     ----------
-    would_take : callable
-        Asked before a first claim; see `IdempotencyGate.check_before_claim`.
+    precheck : callable
+        Asked before a first claim; see `IdempotencyGate.set_claim_precheck`.
     """
 
     def __init__(self, state, runner, repeats, holders, held, settling, release_wait):
@@ -45,7 +45,7 @@
         self.held = held
         self.settling = settling
         self.release_wait = release_wait
-        self.would_take = take_all
+        self.precheck = accept_all
 
     async def run(self, call, dispatch, may_forward):
         """Run a call with its caller's own key."""
@@ -95,7 +95,7 @@
             STORE_UNAVAILABLE when the store has all the writes it takes.
         """
         self.state.check_open()
-        self.would_take(call)
+        self.precheck(call)
         try:
             entry = self.state.key_table.add(scope, digest)
         except CallError:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -99,16 +99,16 @@
         """Set what sends on calls that other daemons forward to this one."""
         self.forwarded_dispatch = dispatch
 
-    def check_before_claim(self, would_take):
+    def set_claim_precheck(self, precheck):
         """Set what is asked before a key is claimed for the first time.
 
         Parameters
         ----------
-        would_take : callable
+        precheck : callable
             Takes the call; raises a ``not run`` `CallError` when it would be
             refused at once, so that no write is spent on it.
         """
-        self.claimed.would_take = would_take
+        self.claimed.precheck = precheck
 
     def mint(self):
         """Return a fresh key bound to this process.
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -211,7 +211,7 @@
             self.pause,
         )
         self.gate.set_forwarded_dispatch(self.flow.dispatch_forwarded)
-        self.gate.check_before_claim(self.router.check)
+        self.gate.set_claim_precheck(self.router.check)
         self.links.handle_calls(receiver.receive, self.flow.handle_forwarded)
 
     def build_doors(self):
--- a/tests/unit/daemon/test_idempotency_held.py
+++ b/tests/unit/daemon/test_idempotency_held.py
@@ -243,7 +243,7 @@
 
         await self.run_at("a", "known")
         gate = self.cluster.gates["a"]
-        gate.check_before_claim(refuse)
+        gate.set_claim_precheck(refuse)
         with self.assertRaises(CallError) as caught:
             await self.run_at("a", "own")
         self.assertEqual(caught.exception.retry_after_ms, 700)
