--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -49,7 +49,7 @@
         self.accounts = accounts
         self.objectives = objectives
         self.pause = pause
-        self.refusing = False
+        self.draining = False
         self.in_flight = 0
         self.idle = asyncio.Event()
         self.idle.set()
@@ -113,7 +113,7 @@
 
     def rule_of(self, incoming):
         """Return the policy's rule for a call; refuse a strange service."""
-        if self.refusing and not incoming.call_token:
+        if self.draining and not incoming.call_token:
             raise CallError(ErrorKind.LEAVING, "this entry is leaving")
         policy = self.components.policy()
         if incoming.host:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
@@ -136,7 +136,7 @@
         if not daemon.settings.calls.infer_parents:
             await daemon.caller_door.stop_accepting()
         await asyncio.sleep(limits.leaving_grace_ms / 1000)
-        daemon.flow.refusing = True
+        daemon.flow.draining = True
 
     async def close_soon(self, supervision):
         """End and close all parts, if that takes no longer than it may.
