--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -37,7 +37,7 @@
         Retry credits of requests whose callers repeat them.
     objectives : ObjectiveCounters
         Counts good and bad requests for the burn report.
-    pause : PauseWatch
+    pause : PauseDetector
         Refuses what waited unread while this process was stopped.
     """
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/pause.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/pause.py
@@ -10,7 +10,7 @@
 UNREAD_SECONDS = 0.1
 
 
-class PauseWatch:
+class PauseDetector:
     """Tells requests that waited unread while this process was stopped.
 
     A VM that is suspended, or a process that is stopped, goes on where it
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -15,7 +15,7 @@
 from papayabay_daemon._internal.calls.components import CallComponents, CallCounters
 from papayabay_daemon._internal.calls.dispatch import Dispatcher
 from papayabay_daemon._internal.calls.flow import CallFlow
-from papayabay_daemon._internal.calls.pause import PauseWatch
+from papayabay_daemon._internal.calls.pause import PauseDetector
 from papayabay_daemon._internal.calls.receive import Receiver
 from papayabay_daemon._internal.calls.tree import CallTree
 from papayabay_daemon._internal.configuration import ConfigurationKeeper
@@ -200,7 +200,7 @@
             self.membership,
         )
         self.objectives = ObjectiveCounters()
-        self.pause = PauseWatch()
+        self.pause = PauseDetector()
         self.flow = CallFlow(
             self.call_components,
             self.tree,
--- a/tests/unit/daemon/test_calls_pause.py
+++ b/tests/unit/daemon/test_calls_pause.py
@@ -1,17 +1,17 @@
 import unittest
 
 from papayabay_core.errors import CallError, Effect, ErrorKind
-from papayabay_daemon._internal.calls.pause import PauseWatch
+from papayabay_daemon._internal.calls.pause import PauseDetector
 
 
-class PauseWatchTests(unittest.TestCase):
+class PauseDetectorTests(unittest.TestCase):
     def setUp(self):
         self.at = 50.0
-        self.watch = PauseWatch(lambda: self.at)
+        self.detector = PauseDetector(lambda: self.at)
 
     def check_after(self, seconds):
         self.at += seconds
-        self.watch.check()
+        self.detector.check()
 
     def refused_after(self, seconds):
         with self.assertRaises(CallError) as raised:
@@ -32,7 +32,7 @@
 
     def test_also_when_the_tick_comes_first(self):
         self.at += 5.0
-        self.watch.tick()
+        self.detector.tick()
         self.refused_after(0.01)
 
     def test_a_busy_moment_is_no_pause(self):
--- a/tests/unit/daemon/test_flow_service.py
+++ b/tests/unit/daemon/test_flow_service.py
@@ -5,7 +5,7 @@
 from papayabay_core.policy.document import PolicyDocument
 from papayabay_core.policy.rules import Policy
 from papayabay_daemon._internal.calls.flow import CallFlow
-from papayabay_daemon._internal.calls.pause import PauseWatch
+from papayabay_daemon._internal.calls.pause import PauseDetector
 
 
 class UnknownServiceTest(unittest.TestCase):
@@ -19,7 +19,7 @@
 
     def error_at(self, policy):
         parts = SimpleNamespace(policy=lambda: policy)
-        flow = CallFlow(parts, None, None, None, None, None, PauseWatch())
+        flow = CallFlow(parts, None, None, None, None, None, PauseDetector())
         incoming = SimpleNamespace(
             host="", service="orders", method="GET", path="/", call_token=""
         )
