--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -12,10 +12,10 @@
 )
 from papayabay_daemon._internal.admission import AdmissionInputs, make_admission
 from papayabay_daemon._internal.calls.chains import ChainModel
+from papayabay_daemon._internal.calls.components import CallComponents, CallCounters
 from papayabay_daemon._internal.calls.dispatch import Dispatcher
 from papayabay_daemon._internal.calls.flow import CallFlow
-from papayabay_daemon._internal.calls.parts import CallCounters, Parts
-from papayabay_daemon._internal.calls.pause import PauseWatch
+from papayabay_daemon._internal.calls.pause import PauseDetector
 from papayabay_daemon._internal.calls.receive import Receiver
 from papayabay_daemon._internal.calls.tree import CallTree
 from papayabay_daemon._internal.configuration import ConfigurationKeeper
@@ -168,7 +168,7 @@
 
     def build_calls(self):
         """Make the call flow."""
-        self.parts = Parts(
+        self.call_components = CallComponents(
             settings=self.settings,
             local=self.membership.local,
             policy=self.policy,
@@ -190,8 +190,8 @@
         chains = ChainModel(self.router)
         self.admission.set_downstream_source(chains.closed_paths)
         self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstreams)
-        receiver = Receiver(self.parts, self.tree, chains, self.arrivals)
-        dispatcher = Dispatcher(self.parts, receiver, self.retries)
+        receiver = Receiver(self.call_components, self.tree, chains, self.arrivals)
+        dispatcher = Dispatcher(self.call_components, receiver, self.retries)
         self.gate = IdempotencyGate(
             self.settings,
             self.membership.local,
@@ -200,9 +200,9 @@
             self.membership,
         )
         self.objectives = ObjectiveCounters()
-        self.pause = PauseWatch()
+        self.pause = PauseDetector()
         self.flow = CallFlow(
-            self.parts,
+            self.call_components,
             self.tree,
             dispatcher,
             self.gate,
@@ -210,9 +210,9 @@
             self.objectives,
             self.pause,
         )
-        self.gate.handle_forwarded(self.flow.dispatch_forwarded)
-        self.gate.check_before_claim(self.router.check)
-        self.links.handle_calls(receiver.receive, self.flow.forwarded)
+        self.gate.set_forwarded_dispatch(self.flow.dispatch_forwarded)
+        self.gate.set_claim_precheck(self.router.check)
+        self.links.handle_calls(receiver.receive, self.flow.handle_forwarded)
 
     def build_doors(self):
         """Make what listens, and the accounts that the daemon gives."""
@@ -223,7 +223,7 @@
         )
         self.listeners = self.environment.listeners(self)
         if settings.metrics.host is not None:
-            sources = self.parts.latencies, self.metrics.totals, self.levels
+            sources = self.call_components.latencies, self.metrics.totals, self.levels
             self.listeners.append(MetricsDoor(settings, *sources))
         routes = StatusRoutes(self)
         self.status_door = StatusDoor(settings, routes.reads(), routes.writes())
