--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/__init__.py
@@ -1,5 +1,5 @@
 """The configuration in force and its spread between daemons."""
 
-from papayabay_daemon._internal.configuration.keeper import ConfigurationKeeper
+from papayabay_daemon._internal.configuration.manager import ConfigurationManager
 
-__all__ = ["ConfigurationKeeper"]
+__all__ = ["ConfigurationManager"]
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/answering.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/answering.py
@@ -17,7 +17,7 @@
 
     Parameters
     ----------
-    state : KeeperState
+    state : ConfigurationState
     links : Links
     note_offer : callable
         Takes a version above the held one and who holds it.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/confirming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/confirming.py
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    state : KeeperState
+    state : ConfigurationState
     store : StoreReader or VersionWatcher
     pusher : Pusher
     readers : Readers
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/keeper.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
@@ -8,11 +8,11 @@
 from papayabay_daemon._internal.configuration.pulling import Puller
 from papayabay_daemon._internal.configuration.pushing import Pusher
 from papayabay_daemon._internal.configuration.readers import Readers
-from papayabay_daemon._internal.configuration.state import KeeperState
+from papayabay_daemon._internal.configuration.state import ConfigurationState
 from papayabay_daemon._internal.configuration.store import StoreReader
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """The configuration of this daemon, and its spread to others.
 
     Parameters
@@ -40,7 +40,7 @@
         clock=now,
         version_reader=StoreReader,
     ):
-        self.state = KeeperState(members, clock)
+        self.state = ConfigurationState(members, clock)
         self.version = self.state.version
         self.loaded = self.state.loaded
         self.counts = self.state.counts
@@ -92,7 +92,7 @@
         self.version.listeners.append(callback)
 
     def take_patches(self, patches):
-        """Take patches that are in the store; see `KeeperState`."""
+        """Take patches that are in the store; see `ConfigurationState`."""
         return self.state.take_patches(patches)
 
     async def run(self):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    state : KeeperState
+    state : ConfigurationState
     links : Links
     random : random.Random
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    state : KeeperState
+    state : ConfigurationState
     links : Links
     random : random.Random
     readers : Readers
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/state.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/state.py
@@ -26,7 +26,7 @@
 log = logbook.Logger("papayabay.configuration")
 
 
-class KeeperState:
+class ConfigurationState:
     """What the parts of the keeper share.
 
     Parameters
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
@@ -18,7 +18,7 @@
     Parameters
     ----------
     settings : DaemonSettings
-    state : KeeperState
+    state : ConfigurationState
     log : ConfigurationLog
     readers : Readers
     random : random.Random
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
@@ -53,7 +53,7 @@
     Parameters
     ----------
     settings : DaemonSettings
-    state : KeeperState
+    state : ConfigurationState
     watch : VersionWatch
     readers : Readers
     random : random.Random
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
@@ -28,7 +28,7 @@
         "accounts": partial(account_counters, daemon),
         "target": partial(dict, daemon.target.crash_detector.counters),
         "cancel_notices": partial(dict, daemon.target.notices.counters),
-        "configuration": partial(dict, daemon.keeper.counts),
+        "configuration": partial(dict, daemon.configuration.counts),
         "members": partial(member_counters, daemon.membership),
         "store_eras": lambda: {"changes": daemon.table.era.changes},
         "restarts": partial(restart_counters, daemon),
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/page.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/page.py
@@ -36,7 +36,7 @@
             "uptime_s": round(now() - self.started, 1),
             "processor_s": round(time.process_time(), 3),
             "leaving": daemon.leaving,
-            "configuration": daemon.keeper.status(),
+            "configuration": daemon.configuration.status(),
             "target": target_status(daemon.registry.current),
             "admission": daemon.admission.snapshot(),
             "routing": daemon.router.status(),
@@ -49,7 +49,7 @@
     def burn(self):
         """Return good and bad requests by path and window."""
         return {
-            "version": self.daemon.keeper.current.version,
+            "version": self.daemon.configuration.current.version,
             "paths": self.daemon.objectives.totals(BURN_WINDOWS),
             "left_out": self.daemon.objectives.left_out,
         }
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/routes.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/routes.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self, daemon):
-        self.keeper = daemon.keeper
+        self.configuration = daemon.configuration
         self.quarantine = daemon.quarantine
         self.page = StatusPage(daemon)
         accounts = AccountReport(daemon.authenticator, daemon.limits)
@@ -71,7 +71,7 @@
 
     async def policy(self, query):
         """Return the policy in force and its version."""
-        current = self.keeper.current
+        current = self.configuration.current
         return {"version": current.version, "values": current.values}
 
     async def held_back(self, query):
@@ -93,4 +93,4 @@
         it. Then nobody but the command that made it knows the patch, and it
         would not come in force until the store is back.
         """
-        return {"version": self.keeper.take_patches(decode_patches(content))}
+        return {"version": self.configuration.take_patches(decode_patches(content))}
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -18,7 +18,7 @@
 from papayabay_daemon._internal.calls.pause import PauseWatch
 from papayabay_daemon._internal.calls.receive import Receiver
 from papayabay_daemon._internal.calls.tree import CallTree
-from papayabay_daemon._internal.configuration import ConfigurationKeeper
+from papayabay_daemon._internal.configuration import ConfigurationManager
 from papayabay_daemon._internal.decision_log import DecisionLog
 from papayabay_daemon._internal.doors import CallerDoor, StatusDoor
 from papayabay_daemon._internal.idempotency import IdempotencyGate
@@ -91,7 +91,7 @@
         self.membership = Membership(settings, self.table, self.links, self.random)
         self.links.local = self.membership.local
         self.membership.on_change(DeathLog().note)
-        self.keeper = ConfigurationKeeper(
+        self.configuration = ConfigurationManager(
             settings,
             environment.versions,
             self.membership,
@@ -118,7 +118,7 @@
         self.registry.listeners.append(self.target_changed)
         dialect = self.environment.target_dialect
         self.asking = TargetAsking(self.settings, self.policy, self.registry, dialect)
-        self.keeper.on_change(self.policy_changed)
+        self.configuration.on_change(self.policy_changed)
         self.links.on_leaving(self.membership.mark_leaving)
         self.links.on_doubt(self.router.note_doubt)
 
@@ -138,7 +138,7 @@
             self.membership,
             self.links,
             QuarantineRows(registry, self.table, self.membership),
-            self.keeper.readers,
+            self.configuration.readers,
             self.random,
         )
         detector = self.target.crash_detector
@@ -148,7 +148,7 @@
     def build_accounts(self):
         """Make what knows client accounts."""
         self.authenticator = Authenticator(
-            self.policy, self.keeper.confirmer, self.random
+            self.policy, self.configuration.confirmer, self.random
         )
         self.ring = ring = KeeperRing(self.membership)
         self.limit_keeper = LimitKeeper(self.policy, ring, self.links)
@@ -162,9 +162,9 @@
             self.random,
         )
         for kept in (self.limits, self.token_asking, parts):
-            self.keeper.on_change(kept.policy_changed)
-        self.links.confirmations = self.keeper.state
-        self.table.era.listeners.append(self.keeper.state.store_restored)
+            self.configuration.on_change(kept.policy_changed)
+        self.links.confirmations = self.configuration.state
+        self.table.era.listeners.append(self.configuration.state.store_restored)
 
     def build_calls(self):
         """Make the call flow."""
@@ -234,7 +234,7 @@
             "control",
             [
                 Child("membership", self.membership.run),
-                Child("configuration", self.keeper.run),
+                Child("configuration", self.configuration.run),
             ],
         )
         children = [
@@ -255,7 +255,7 @@
 
     def policy(self):
         """Return the policy in force."""
-        return self.keeper.policy
+        return self.configuration.policy
 
     def levels(self):
         """Return what metrics show beside counters, by dotted name."""
--- a/tests/unit/daemon/test_confirmations.py
+++ b/tests/unit/daemon/test_confirmations.py
@@ -8,7 +8,7 @@
 from papayabay_core.exceptions import PlatformError, PolicyError
 from papayabay_daemon._internal.configuration.confirming import Confirmer
 from papayabay_daemon._internal.configuration.messages import Offer
-from papayabay_daemon._internal.configuration.state import KeeperState
+from papayabay_daemon._internal.configuration.state import ConfigurationState
 from papayabay_daemon._internal.configuration.watching import VersionWatcher
 from tests.lib.virtual_time import run_virtually
 
@@ -63,7 +63,7 @@
 
 
 def make_state(clock, number=1):
-    state = KeeperState(SilentMembers(), clock)
+    state = ConfigurationState(SilentMembers(), clock)
     if number:
         state.take_whole(version(number))
     return state
@@ -158,7 +158,7 @@
         self.assertEqual(self.state.own_confirmation(), (1, 11))
 
     def test_without_a_bound_nothing_is_passed_on(self):
-        state = KeeperState(SilentMembers(), self.clock)
+        state = ConfigurationState(SilentMembers(), self.clock)
         state.confirm(self.clock.now)
         self.assertIsNone(state.own_confirmation())
 
--- a/tests/unit/daemon/test_counter_sources.py
+++ b/tests/unit/daemon/test_counter_sources.py
@@ -28,7 +28,7 @@
         daemon.gate.known.counters["full"] += 2
         daemon.caller_door.counters["refused"] += 3
         daemon.target.notices.counters["dropped"] += 4
-        daemon.keeper.counts["pulls"] += 5
+        daemon.configuration.counts["pulls"] += 5
         daemon.membership.refutations += 6
         daemon.supervisor.restarts["target lease"] += 7
         daemon.control.restarts["membership"] += 8
--- a/tests/unit/daemon/test_spread_cluster.py
+++ b/tests/unit/daemon/test_spread_cluster.py
@@ -4,7 +4,7 @@
 
 from papayabay_core.configuration import ConfigurationLog, new_patch
 from papayabay_core.exceptions import PlatformError
-from papayabay_daemon._internal.configuration import ConfigurationKeeper
+from papayabay_daemon._internal.configuration import ConfigurationManager
 from papayabay_daemon._internal.configuration.messages import Offer
 from papayabay_daemon._internal.membership import Membership
 from papayabay_daemon._internal.membership.packets import Update
@@ -49,12 +49,12 @@
         links = test.network.links(name)
         self.members = Membership(settings, test.table, links, seeded(name))
         self.members.set_ports(1, 2)
-        self.keeper = ConfigurationKeeper(
+        self.configuration = ConfigurationManager(
             settings, test.log, self.members, links, seeded(name)
         )
         self.changed = asyncio.Event()
         self.versions = []
-        self.keeper.on_change(self.note)
+        self.configuration.on_change(self.note)
 
     def note(self, policy):
         self.versions.append(policy.version)
@@ -63,11 +63,11 @@
     async def run(self):
         async with asyncio.TaskGroup() as group:
             group.create_task(self.members.run())
-            group.create_task(self.keeper.run())
+            group.create_task(self.configuration.run())
 
     async def reaches(self, version):
         async with asyncio.timeout(BOUND_SECONDS):
-            while self.keeper.policy.version < version:
+            while self.configuration.policy.version < version:
                 self.changed.clear()
                 await self.changed.wait()
 
@@ -99,7 +99,7 @@
     async def settled(self, nodes):
         count = len(nodes)
         for node in nodes:
-            await asyncio.wait_for(node.keeper.loaded.wait(), BOUND_SECONDS)
+            await asyncio.wait_for(node.configuration.loaded.wait(), BOUND_SECONDS)
             members = node.members
             await until(lambda m=members: len(m.live()) == count, members.on_change)
 
@@ -122,7 +122,7 @@
         patch = new_patch(1, {"services": {"bank": {"deadline_ms": 77}}})
         self.table.down = True
         self.network.bytes.clear()
-        nodes[7].keeper.take_patches([patch])
+        nodes[7].configuration.take_patches([patch])
         for node in nodes:
             await node.reaches(2)
             self.assertEqual(node.versions, sorted(set(node.versions)))
@@ -137,7 +137,7 @@
             await node.reaches(3)
         picked = {"d0": [], "d1": [], "d2": [], "d3": []}
         for node in nodes:
-            readers = node.keeper.readers.pick(node.members.live())
+            readers = node.configuration.readers.pick(node.members.live())
             names = sorted(member.name for member in readers)
             picked[node.members.local.failure_domain].append(names)
         for views in picked.values():
@@ -155,45 +155,47 @@
         for peer in (a, b):
             local = peer.members.local
             late.members.table.add(update_of(local))
-        b.keeper.take_patches([new_patch(1, {"services": {"x": {}}})])
+        b.configuration.take_patches([new_patch(1, {"services": {"x": {}}})])
         self.network.cut.add("a")
-        a.keeper.puller.offers.clear()
-        await late.keeper.load_first()
-        status = late.keeper.status()
+        a.configuration.puller.offers.clear()
+        await late.configuration.load_first()
+        status = late.configuration.status()
         self.assertEqual((status["version"], status["confirmed"]), (2, False))
         self.assertFalse(status["store_reachable"])
-        late.keeper.loaded.set()
-        late.keeper.state.receive_confirmation(Offer(2, 3_600.0))
-        late.keeper.state.receive_confirmation(Offer(1, 0.5))
-        self.assertFalse(late.keeper.confirmed)
-        late.keeper.state.receive_confirmation(Offer(2, 0.5))
-        self.assertTrue(late.keeper.confirmed)
+        late.configuration.loaded.set()
+        late.configuration.state.receive_confirmation(Offer(2, 3_600.0))
+        late.configuration.state.receive_confirmation(Offer(1, 0.5))
+        self.assertFalse(late.configuration.confirmed)
+        late.configuration.state.receive_confirmation(Offer(2, 0.5))
+        self.assertTrue(late.configuration.confirmed)
 
     async def test_stale_reads_do_not_go_back(self):
         """A read of an old copy of the head took a daemon back."""
         for base in range(3):
             await self.commit(base)
         node = Node(self, "a", "d1")
-        await node.keeper.load_first()
+        await node.configuration.load_first()
         old = self.table.rows["config/head"]
         await self.commit(3)
-        await node.keeper.store.read()
+        await node.configuration.store.read()
         self.table.rows["config/head"] = old
-        await node.keeper.store.read()
-        self.assertEqual(node.keeper.policy.version, 4)
-        self.assertEqual(node.keeper.counts["stale_reads"], 1)
+        await node.configuration.store.read()
+        self.assertEqual(node.configuration.policy.version, 4)
+        self.assertEqual(node.configuration.counts["stale_reads"], 1)
         self.assertEqual(node.versions, [3, 4])
 
     async def test_store_failures_are_counted_and_survived(self):
         node = Node(self, "a", "d1")
         self.table.down = True
         for _ in range(3):
-            await node.keeper.store.read()
-        self.assertEqual(node.keeper.counts["store_errors"], 3)
+            await node.configuration.store.read()
+        self.assertEqual(node.configuration.counts["store_errors"], 3)
         self.table.down = False
         await self.commit(0)
-        await node.keeper.store.read()
-        self.assertTrue(node.keeper.store_reachable and node.keeper.confirmed)
+        await node.configuration.store.read()
+        self.assertTrue(
+            node.configuration.store_reachable and node.configuration.confirmed
+        )
 
     async def test_large_versions_and_tails_come_in_parts(self):
         """A new daemon never got a large policy from its peers.
@@ -207,15 +209,19 @@
         node = Node(self, "a", "d1")
         for base in range(8):
             changes = {"services": {f"s{base}": {"calls": calls}}}
-            node.keeper.take_patches([new_patch(base, changes)])
+            node.configuration.take_patches([new_patch(base, changes)])
         lagging, new = Node(self, "b", "d1"), Node(self, "c", "d1")
-        lagging.keeper.take_patches(node.keeper.version.history.after(0)[:1])
+        lagging.configuration.take_patches(
+            node.configuration.version.history.after(0)[:1]
+        )
         for version in (3, 5, 7, 8):
-            self.assertTrue(await lagging.keeper.puller.pull(node.members.local))
-            self.assertEqual(lagging.keeper.policy.version, version)
-        node.keeper.version.history.clear()
-        self.assertTrue(await new.keeper.puller.pull(node.members.local))
-        self.assertEqual(new.keeper.current.values, node.keeper.current.values)
+            self.assertTrue(await lagging.configuration.puller.pull(node.members.local))
+            self.assertEqual(lagging.configuration.policy.version, version)
+        node.configuration.version.history.clear()
+        self.assertTrue(await new.configuration.puller.pull(node.members.local))
+        self.assertEqual(
+            new.configuration.current.values, node.configuration.current.values
+        )
 
     async def test_offers_that_bring_nothing_are_failures(self):
         """A peer that claimed a version it did not send was asked at once."""
@@ -225,23 +231,23 @@
             return Offer(9, None).encode()
 
         self.network.handlers["a"]["config-tail"] = claim
-        self.assertFalse(await other.keeper.puller.pull(node.members.local))
+        self.assertFalse(await other.configuration.puller.pull(node.members.local))
 
     async def test_lagging_peer_gets_the_whole_version(self):
         node, other = Node(self, "a", "d1"), Node(self, "b", "d1")
         for base in range(2):
             await self.commit(base)
-        await node.keeper.load_first()
+        await node.configuration.load_first()
         self.assertTrue(
-            await other.keeper.puller.pull(node.members.local),
+            await other.configuration.puller.pull(node.members.local),
         )
-        self.assertEqual(other.keeper.policy.version, 2)
+        self.assertEqual(other.configuration.policy.version, 2)
         with self.assertRaises(PlatformError):
             self.table.down = True
             await self.log.head()
         self.network.cut.add("a")
-        self.assertFalse(await other.keeper.puller.pull(node.members.local))
-        self.assertEqual(other.keeper.counts["pull_errors"], 1)
+        self.assertFalse(await other.configuration.puller.pull(node.members.local))
+        self.assertEqual(other.configuration.counts["pull_errors"], 1)
 
 
 def update_of(member):
--- a/tests/unit/daemon/test_version_watching.py
+++ b/tests/unit/daemon/test_version_watching.py
@@ -7,7 +7,7 @@
 
 from papayabay_core.configuration import Configuration
 from papayabay_daemon._internal.configuration.readers import Readers
-from papayabay_daemon._internal.configuration.state import KeeperState
+from papayabay_daemon._internal.configuration.state import ConfigurationState
 from papayabay_daemon._internal.configuration.watching import VersionWatcher
 from papayabay_daemon._internal.interfaces import Member
 from tests.lib.cluster_fakes import make_settings
@@ -73,7 +73,7 @@
 
     def watcher(self, local):
         self.members = FakeMembers(local, self.live)
-        state = KeeperState(self.members, lambda: 0.0)
+        state = ConfigurationState(self.members, lambda: 0.0)
         readers = Readers(self.members, 2, lambda: 0.0, PERIOD_SECONDS)
         settings = make_settings(local.name)
         return VersionWatcher(settings, state, self.store, readers, random.Random(1))
