--- a/packages/papayabay-bench/src/papayabay_bench/capacity/configuration.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/configuration.py
@@ -97,7 +97,7 @@
     before, _ = tracemalloc.get_traced_memory()
     copied = json.loads(json.dumps(values))
     version = VersionInForce()
-    version.take_whole(Configuration(1, copied))
+    version.apply_full_version(Configuration(1, copied))
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     sample.memory = after - before
@@ -114,7 +114,7 @@
     """Return the processor time of taking in one small patch."""
     patch = new_patch(version.held.version, small_change(number), "capacity")
     started = time.process_time()
-    version.take_patches([patch])
+    version.apply_patches([patch])
     return time.process_time() - started
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
@@ -91,9 +91,9 @@
         """Call back with each policy that comes in force."""
         self.version.listeners.append(callback)
 
-    def take_patches(self, patches):
+    def apply_patches(self, patches):
         """Take patches that are in the store; see `ConfigurationState`."""
-        return self.state.take_patches(patches)
+        return self.state.apply_patches(patches)
 
     async def run(self):
         """Load, then read, pull and push until cancelled."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
@@ -128,11 +128,11 @@
         """Take the patches or the whole version that a peer sent."""
         offer, body = take_offer(answer)
         if body[:1] == TAIL:
-            self.state.take_patches(decode_patches(body[1:]))
+            self.state.apply_patches(decode_patches(body[1:]))
         elif body:
             content = await self.fetch_rest(peer, offer.version, body)
             whole = decode_configuration(content, "a peer's version")
-            self.state.take_whole(whole)
+            self.state.apply_full_version(whole)
         if self.state.loaded.is_set():
             self.state.receive_confirmation(offer, asked_at)
         return offer
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/state.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/state.py
@@ -64,12 +64,12 @@
         self.push_due = asyncio.Event()
         self.counts = dict.fromkeys(COUNTS, 0)
 
-    def take_whole(self, configuration):
+    def apply_full_version(self, configuration):
         """Take a whole version if it is newer, and pass it on."""
-        if self.version.take_whole(configuration):
+        if self.version.apply_full_version(configuration):
             self.went_on()
 
-    def take_patches(self, patches):
+    def apply_patches(self, patches):
         """Take patches that are in the store, such as one just committed.
 
         Returns
@@ -78,7 +78,7 @@
             The version now held; lower than the last patch's when patches
             between are missing.
         """
-        if self.version.take_patches(patches):
+        if self.version.apply_patches(patches):
             self.went_on()
         return self.version.held.version
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
@@ -44,7 +44,7 @@
         except (PlatformError, TimeoutError) as error:
             self.failed(error)
         else:
-            self.state.take_whole(configuration)
+            self.state.apply_full_version(configuration)
             if configuration.confirmed:
                 self.state.confirm(asked_at)
 
@@ -88,7 +88,7 @@
             return
         if head > held:
             patches = await self.log.patches_after(held)
-            self.state.take_patches(patches)
+            self.state.apply_patches(patches)
         if self.state.version.held.version >= head:
             self.state.confirm(asked_at)
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/version.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/version.py
@@ -29,7 +29,7 @@
         self.refused = ""
         self.listeners = []
 
-    def take_patches(self, patches):
+    def apply_patches(self, patches):
         """Apply the patches that follow; return whether any did.
 
         Patches come from several peers in any order and more than once.
@@ -45,7 +45,7 @@
         self.put_in_force(steps)
         return bool(steps)
 
-    def take_whole(self, configuration):
+    def apply_full_version(self, configuration):
         """Take a whole version; return whether it is newer."""
         if configuration.version <= self.held.version:
             return False
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
@@ -126,6 +126,6 @@
         """Take a version, and pass it on if it is newer."""
         self.newest = configuration.version
         newer = configuration.version > self.state.version.held.version
-        self.state.take_whole(configuration)
+        self.state.apply_full_version(configuration)
         if newer:
             self.state.members.announce_version(self.readers.followers())
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/routes.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/routes.py
@@ -93,4 +93,4 @@
         it. Then nobody but the command that made it knows the patch, and it
         would not come in force until the store is back.
         """
-        return {"version": self.configuration.take_patches(decode_patches(content))}
+        return {"version": self.configuration.apply_patches(decode_patches(content))}
--- a/tests/unit/daemon/test_confirmations.py
+++ b/tests/unit/daemon/test_confirmations.py
@@ -65,7 +65,7 @@
 def make_state(clock, number=1):
     state = ConfigurationState(SilentMembers(), clock)
     if number:
-        state.take_whole(version(number))
+        state.apply_full_version(version(number))
     return state
 
 
@@ -149,7 +149,7 @@
         self.assertEqual(self.state.staleness(), float("inf"))
 
     def test_an_older_version_of_a_peer_does(self):
-        self.state.take_whole(version(3))
+        self.state.apply_full_version(version(3))
         self.state.peer_confirmed(2, 0, self.clock.now)
         self.assertEqual(self.state.staleness(), 0.0)
 
--- a/tests/unit/daemon/test_spread_cluster.py
+++ b/tests/unit/daemon/test_spread_cluster.py
@@ -122,7 +122,7 @@
         patch = new_patch(1, {"services": {"bank": {"deadline_ms": 77}}})
         self.table.down = True
         self.network.bytes.clear()
-        nodes[7].configuration.take_patches([patch])
+        nodes[7].configuration.apply_patches([patch])
         for node in nodes:
             await node.reaches(2)
             self.assertEqual(node.versions, sorted(set(node.versions)))
@@ -155,7 +155,7 @@
         for peer in (a, b):
             local = peer.members.local
             late.members.table.add(update_of(local))
-        b.configuration.take_patches([new_patch(1, {"services": {"x": {}}})])
+        b.configuration.apply_patches([new_patch(1, {"services": {"x": {}}})])
         self.network.cut.add("a")
         a.configuration.puller.offers.clear()
         await late.configuration.load_first()
@@ -209,9 +209,9 @@
         node = Node(self, "a", "d1")
         for base in range(8):
             changes = {"services": {f"s{base}": {"calls": calls}}}
-            node.configuration.take_patches([new_patch(base, changes)])
+            node.configuration.apply_patches([new_patch(base, changes)])
         lagging, new = Node(self, "b", "d1"), Node(self, "c", "d1")
-        lagging.configuration.take_patches(
+        lagging.configuration.apply_patches(
             node.configuration.version.history.after(0)[:1]
         )
         for version in (3, 5, 7, 8):
--- a/tests/unit/daemon/test_spread_versions.py
+++ b/tests/unit/daemon/test_spread_versions.py
@@ -28,12 +28,12 @@
                 part = patches[start : start + shuffler.randrange(1, 5)]
                 if shuffler.random() < 0.2:
                     whole = Configuration(start, {"services": {}})
-                    version.take_whole(whole)
+                    version.apply_full_version(whole)
                 else:
-                    version.take_patches(part)
+                    version.apply_patches(part)
             versions = [policy.version for policy in seen]
             self.assertEqual(versions, sorted(set(versions)))
-            version.take_patches(patches)
+            version.apply_patches(patches)
             self.assertEqual(version.current.version, 12)
             self.assertEqual(version.policy.version, 12)
 
@@ -41,10 +41,10 @@
         version = VersionInForce()
         bad = new_patch(1, {"future": {"x": 1}})
         mended = new_patch(2, {"future": None})
-        version.take_patches([*make_patches(1), bad])
+        version.apply_patches([*make_patches(1), bad])
         self.assertEqual((version.current.version, version.held.version), (1, 2))
         self.assertIn("future", version.refused)
-        version.take_patches([mended])
+        version.apply_patches([mended])
         self.assertEqual((version.current.version, version.refused), (3, ""))
 
     def test_history_is_bounded_and_knows_what_it_lacks(self):
