--- a/packages/papayabay-bench/src/papayabay_bench/capacity/configuration.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/configuration.py
@@ -112,7 +112,7 @@
 
 def apply_cost(version, number):
     """Return the processor time of taking in one small patch."""
-    patch = new_patch(version.held.version, small_change(number), "capacity")
+    patch = new_patch(version.latest.version, small_change(number), "capacity")
     started = time.process_time()
     version.apply_patches([patch])
     return time.process_time() - started
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/answering.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/answering.py
@@ -34,7 +34,7 @@
     async def answer_offer(self, payload, peer):
         """Note a peer's offer and answer with the own."""
         offer, _ = take_offer(payload)
-        if offer.version > self.state.version.held.version:
+        if offer.version > self.state.version.latest.version:
             self.note_offer(offer.version, peer)
         else:
             self.state.receive_confirmation(offer)
@@ -44,7 +44,7 @@
         """Answer with the patches after a version, or with everything."""
         after = decode_version(payload)
         head = self.state.own_offer().encode()
-        if after >= self.state.version.held.version:
+        if after >= self.state.version.latest.version:
             return head
         patches = self.state.version.history.after(after)
         if patches is None:
@@ -55,13 +55,13 @@
         """Answer with a part of the whole held version."""
         offset = decode_version(payload)
         head = self.state.own_offer().encode()
-        if not self.state.version.held.version:
+        if not self.state.version.latest.version:
             return head
         return head + encode_chunk(self.encoded_whole(), offset)
 
     def encoded_whole(self):
         """Return the held version as bytes, made once per version."""
-        held = self.state.version.held
+        held = self.state.version.latest
         if self.encoded is None or self.encoded[0] != held.version:
             self.encoded = (held.version, encode_configuration(held))
         return self.encoded[1]
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
@@ -116,7 +116,7 @@
         """Return the version in force and counters as plain values."""
         return {
             "version": self.version.current.version,
-            "held_version": self.version.held.version,
+            "held_version": self.version.latest.version,
             "confirmed": self.confirmed,
             "applied_at": self.applied_at,
             "not_in_force": self.version.refused,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
@@ -59,7 +59,7 @@
 
     def note_offer(self, version, name):
         """Remember that a member holds a newer version."""
-        if version <= self.state.version.held.version:
+        if version <= self.state.version.latest.version:
             self.state.counts["stale_offers"] += 1
             return
         if name in self.offers or len(self.offers) < OFFERS_MAX:
@@ -91,14 +91,14 @@
             name = max(self.offers, key=self.offers.get)
             version = self.offers.pop(name)
             peer = self.state.members.get(name)
-            if peer is not None and version > self.state.version.held.version:
+            if peer is not None and version > self.state.version.latest.version:
                 return peer
         return None
 
     async def pull(self, peer):
         """Pull what a peer holds beyond the held version."""
         self.state.counts["pulls"] += 1
-        after = encode_version(self.state.version.held.version)
+        after = encode_version(self.state.version.latest.version)
         return await self.fetch(peer, TAIL_TOPIC, after)
 
     async def fetch(self, peer, topic, payload):
@@ -107,7 +107,7 @@
         An answer that brings nothing although the peer claims more is a
         failure; it would otherwise be asked for again without a pause.
         """
-        before = self.state.version.held.version
+        before = self.state.version.latest.version
         asked_at = self.state.clock()
         try:
             answer = await self.links.request(peer, topic, payload, PEER_SECONDS)
@@ -119,9 +119,9 @@
             if isinstance(error.__context__, UpgradeNeeded):
                 self.state.version.refuse(error)
         else:
-            if offer.version > self.state.version.held.version:
+            if offer.version > self.state.version.latest.version:
                 self.note_offer(offer.version, peer.name)
-            return self.state.version.held.version >= min(offer.version, before + 1)
+            return self.state.version.latest.version >= min(offer.version, before + 1)
         return False
 
     async def take_answer(self, peer, answer, asked_at):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
@@ -81,7 +81,7 @@
         except (ProtocolError, OSError, TimeoutError):
             self.state.counts["push_errors"] += 1
             return None
-        if offer.version > self.state.version.held.version:
+        if offer.version > self.state.version.latest.version:
             self.note_offer(offer.version, peer.name)
         self.state.receive_confirmation(offer, asked_at)
         return offer
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/state.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/state.py
@@ -80,11 +80,11 @@
         """
         if self.version.apply_patches(patches):
             self.went_on()
-        return self.version.held.version
+        return self.version.latest.version
 
     def went_on(self):
         """Let the others know of a newer version."""
-        self.members.set_configuration(self.version.held.version)
+        self.members.set_configuration(self.version.latest.version)
         self.push_due.set()
 
     def confirm(self, asked_at):
@@ -106,7 +106,7 @@
         """Note that the store has confirmed a version, at whatever time."""
         if not self.confirmed:
             self.confirmed = True
-            log.info("version {} is confirmed", self.version.held.version)
+            log.info("version {} is confirmed", self.version.latest.version)
 
     def staleness(self):
         """Return the seconds since no newer version was known to be stored."""
@@ -120,7 +120,7 @@
     def own_offer(self):
         """Return what this daemon holds."""
         age = max(0.0, self.staleness())
-        return Offer(self.version.held.version, None if age == math.inf else age)
+        return Offer(self.version.latest.version, None if age == math.inf else age)
 
     def own_confirmation(self):
         """Return the held version and its confirmation's age, or None.
@@ -135,7 +135,7 @@
         age = max(0.0, self.staleness())
         if age > FRESH_SECONDS:
             return None
-        return self.version.held.version, whole_ms(age)
+        return self.version.latest.version, whole_ms(age)
 
     def peer_confirmed(self, version, age_ms, asked_at):
         """Take over the confirmation that came with a peer's answer.
@@ -147,7 +147,7 @@
             When the peer answered, which was no sooner than it was asked.
         asked_at : float
         """
-        if version <= self.version.held.version:
+        if version <= self.version.latest.version:
             self.confirm(asked_at - age_ms / 1_000)
 
     def receive_confirmation(self, offer, asked_at=None):
@@ -165,7 +165,7 @@
             unasked, and may have been under way for any time.
         """
         recent = offer.age is not None and offer.age <= FRESH_SECONDS
-        if not recent or offer.version != self.version.held.version:
+        if not recent or offer.version != self.version.latest.version:
             return
         self.note_confirmed()
         if asked_at is not None:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
@@ -82,14 +82,14 @@
         """
         asked_at = self.state.clock()
         head = await self.log.head()
-        held = self.state.version.held.version
+        held = self.state.version.latest.version
         if head < held:
             self.state.counts["stale_reads"] += 1
             return
         if head > held:
             patches = await self.log.patches_after(held)
             self.state.apply_patches(patches)
-        if self.state.version.held.version >= head:
+        if self.state.version.latest.version >= head:
             self.state.confirm(asked_at)
 
     def failed(self, error):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/version.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/version.py
@@ -21,7 +21,7 @@
     """
 
     def __init__(self):
-        self.held = Configuration()
+        self.latest = Configuration()
         self.current = Configuration()
         self.policy = Policy()
         self.applied_at = 0.0
@@ -38,18 +38,18 @@
         """
         steps = []
         for patch in patches:
-            if patch.version == self.held.version + 1:
-                self.held = self.held.apply(patch)
+            if patch.version == self.latest.version + 1:
+                self.latest = self.latest.apply(patch)
                 self.history.add(patch)
-                steps.append(self.held)
+                steps.append(self.latest)
         self.put_in_force(steps)
         return bool(steps)
 
     def apply_full_version(self, configuration):
         """Take a whole version; return whether it is newer."""
-        if configuration.version <= self.held.version:
+        if configuration.version <= self.latest.version:
             return False
-        self.held = configuration
+        self.latest = configuration
         self.history.clear()
         self.put_in_force([configuration])
         return True
@@ -66,7 +66,7 @@
             self.policy = policy
             self.applied_at = time.time()
             log.notice("version {} is in force", configuration.version)
-            if configuration is self.held:
+            if configuration is self.latest:
                 self.refused = ""
             self.tell()
             return
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
@@ -115,7 +115,7 @@
         else:
             if configuration is not None:
                 self.take(configuration)
-            if 0 < self.newest <= self.state.version.held.version:
+            if 0 < self.newest <= self.state.version.latest.version:
                 self.state.confirm(asked_at)
         self.loaded = True
         self.pause = FIRST_PAUSE_SECONDS
@@ -125,7 +125,7 @@
     def take(self, configuration):
         """Take a version, and pass it on if it is newer."""
         self.newest = configuration.version
-        newer = configuration.version > self.state.version.held.version
+        newer = configuration.version > self.state.version.latest.version
         self.state.apply_full_version(configuration)
         if newer:
             self.state.members.announce_version(self.readers.followers())
--- a/tests/unit/daemon/test_spread_versions.py
+++ b/tests/unit/daemon/test_spread_versions.py
@@ -42,7 +42,7 @@
         bad = new_patch(1, {"future": {"x": 1}})
         mended = new_patch(2, {"future": None})
         version.apply_patches([*make_patches(1), bad])
-        self.assertEqual((version.current.version, version.held.version), (1, 2))
+        self.assertEqual((version.current.version, version.latest.version), (1, 2))
         self.assertIn("future", version.refused)
         version.apply_patches([mended])
         self.assertEqual((version.current.version, version.refused), (3, ""))
--- a/tests/unit/daemon/test_state_lines.py
+++ b/tests/unit/daemon/test_state_lines.py
@@ -76,7 +76,7 @@
 
     def test_version_in_force(self):
         version = VersionInForce()
-        version.apply_full_version(version.held.__class__(version=3))
+        version.apply_full_version(version.latest.__class__(version=3))
         self.assertEqual(self.lines(), ["version 3 is in force"])
 
 
--- a/tests/unit/daemon/test_version_watching.py
+++ b/tests/unit/daemon/test_version_watching.py
@@ -143,4 +143,4 @@
         await watcher.follow()
         await watcher.follow()
         self.assertEqual(self.store.calls, ["load", "changed"])
-        self.assertEqual(watcher.state.version.held.version, 2)
+        self.assertEqual(watcher.state.version.latest.version, 2)
