--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/readers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/readers.py
@@ -28,7 +28,7 @@
     def __init__(self, members, count, clock, period):
         self.members = members
         self.count = count
-        self.longest_silence = period * SILENT_PERIODS
+        self.isolation_timeout = period * SILENT_PERIODS
         self.clock = clock
         self.live = None
         self.picked_at = 0.0
@@ -79,7 +79,10 @@
         on serving callers. Did it wait for its readers, it would route by an
         old version for as long as the cut lasts; its log would show no error.
         """
-        return self.include_local() or self.members.silence() > self.longest_silence
+        return (
+            self.include_local()
+            or self.members.seconds_since_packet() > self.isolation_timeout
+        )
 
     def others(self):
         """Return the readers of the own domain but this daemon."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
@@ -155,7 +155,7 @@
         """Call back with a version above the own and who has it."""
         self.receiver.version_listeners.append(callback)
 
-    def silence(self):
+    def seconds_since_packet(self):
         """Return the seconds since a packet of another member arrived."""
         return self.clock() - self.receiver.received_at
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
@@ -246,7 +246,7 @@
 
     def detect_isolation(self):
         """Synchronize again after this daemon received nothing for long."""
-        if self.members.silence() > self.readers.longest_silence:
+        if self.members.seconds_since_packet() > self.readers.isolation_timeout:
             self.was_isolated = True
         elif self.was_isolated:
             self.was_isolated = self.is_synchronized = False
--- a/tests/unit/daemon/quarantine_fleet.py
+++ b/tests/unit/daemon/quarantine_fleet.py
@@ -98,10 +98,10 @@
     def upstreams(self, service):
         return self.live()
 
-    def silence(self):
-        return 0.0 if self.fleet.others_of(self) else self.longest_silence + 1.0
+    def seconds_since_packet(self):
+        return 0.0 if self.fleet.others_of(self) else self.isolation_timeout + 1.0
 
-    longest_silence = 1.5
+    isolation_timeout = 1.5
 
     def current(self):
         return sorted(self.live(), key=lambda member: member.name)[:2]
--- a/tests/unit/daemon/test_version_watching.py
+++ b/tests/unit/daemon/test_version_watching.py
@@ -32,7 +32,7 @@
     def live(self):
         return self.everybody
 
-    def silence(self):
+    def seconds_since_packet(self):
         return self.silent
 
     def set_configuration(self, version):
