--- a/packages/papayabay-bench/src/papayabay_bench/capacity/crowd.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/crowd.py
@@ -127,7 +127,7 @@
         self.table = MemberTable(self.members[0])
         for member in self.members[1:]:
             self.table.members[member.name] = member
-            self.table.enter(member)
+            self.table.add_to_indexes(member)
         self.links = CrowdLinks(settings, self.members[0], self)
         self.exchange = Exchange(self.table, self.links, self.hear)
         self.sealer = Sealer(settings.cluster)
@@ -266,9 +266,9 @@
             How often the daemon hears it.
         """
         member = self.speaker()
-        self.table.leave_indexes(member)
+        self.table.remove_from_indexes(member)
         member.incarnation += 1
-        self.table.enter(member)
+        self.table.add_to_indexes(member)
         self.news.extend([encode_full(member)] * copies)
 
     def kill(self, count):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
@@ -17,7 +17,7 @@
     encode_version,
     take_offer,
 )
-from papayabay_daemon._internal.membership.drawing import random_peers
+from papayabay_daemon._internal.membership.sampling import random_peers
 
 OFFERS_MAX = 64
 FIRST_PEERS = 5
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
@@ -9,7 +9,7 @@
     PEER_SECONDS,
     take_offer,
 )
-from papayabay_daemon._internal.membership.drawing import random_peers
+from papayabay_daemon._internal.membership.sampling import random_peers
 
 FAN_OUT = 3
 PARTNERS = 8
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
@@ -10,7 +10,6 @@
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.interfaces import Member, MemberState
 from papayabay_daemon._internal.membership.detector import Detector
-from papayabay_daemon._internal.membership.drawing import random_peers
 from papayabay_daemon._internal.membership.exchange import Exchange
 from papayabay_daemon._internal.membership.gossip import Gossip
 from papayabay_daemon._internal.membership.incarnations import (
@@ -20,6 +19,7 @@
 from papayabay_daemon._internal.membership.joining import Joining
 from papayabay_daemon._internal.membership.packets import Sealer, Update, encode_full
 from papayabay_daemon._internal.membership.receiving import PacketReceiver
+from papayabay_daemon._internal.membership.sampling import random_peers
 from papayabay_daemon._internal.membership.seeds import SeedRows
 from papayabay_daemon._internal.membership.table import MemberTable
 
@@ -103,7 +103,7 @@
         """Return the live, not leaving members that announce a service."""
         return self.table.upstreams(service)
 
-    def known_upstreams(self, service):
+    def known_upstream_count(self, service):
         """Return how many members announce a service, or did until lately.
 
         The dead count too: a daemon that is merely cut off goes on spending
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/table.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/table.py
@@ -52,7 +52,7 @@
         self.tombstones = OrderedDict()
         self.live_list = None
         self.refused = 0
-        self.enter(local)
+        self.add_to_indexes(local)
 
     def get(self, name):
         """Return a member that is not dead, or None."""
@@ -108,12 +108,12 @@
         if self.only_suspects(update, known):
             known.state = update.state
             return known
-        self.leave_indexes(known)
+        self.remove_from_indexes(known)
         if update.member is not None:
             self.copy(update.member, known)
         known.incarnation = update.incarnation
         known.state = update.state
-        self.enter(known)
+        self.add_to_indexes(known)
         self.bury_or_revive(known, at)
         return known
 
@@ -147,7 +147,7 @@
             self.refused += 1
             return None
         self.members[member.name] = member
-        self.enter(member)
+        self.add_to_indexes(member)
         return member
 
     def copy(self, source, known):
@@ -155,7 +155,7 @@
         for name in Member.__slots__:
             setattr(known, name, getattr(source, name))
 
-    def enter(self, member):
+    def add_to_indexes(self, member):
         """Add a member to the indexes that its present state belongs in."""
         self.live_list = None
         bucket = bucket_of(member.name)
@@ -167,7 +167,7 @@
             self.services.setdefault(member.service, set()).add(member.name)
             self.service_lists.pop(member.service, None)
 
-    def leave_indexes(self, member):
+    def remove_from_indexes(self, member):
         """Take a member out of all indexes before it changes."""
         self.live_list = None
         if member.state is MemberState.DEAD:
@@ -183,10 +183,10 @@
 
     def change_local(self, **fields):
         """Change this daemon's own record."""
-        self.leave_indexes(self.local)
+        self.remove_from_indexes(self.local)
         for name, value in fields.items():
             setattr(self.local, name, value)
-        self.enter(self.local)
+        self.add_to_indexes(self.local)
 
     def bury_or_revive(self, member, at):
         """Keep the tombstones in step with a changed member."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
@@ -6,7 +6,7 @@
 
 from papayabay_core.exceptions import ProtocolError
 from papayabay_daemon._internal.membership.detector import wait_event
-from papayabay_daemon._internal.membership.drawing import random_peers
+from papayabay_daemon._internal.membership.sampling import random_peers
 from papayabay_daemon._internal.quarantine.messages import (
     TOPIC,
     RegistryDigest,
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -189,7 +189,7 @@
         self.tree = CallTree()
         chains = ChainModel(self.router)
         self.admission.ask_below(chains.closed_paths)
-        self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstreams)
+        self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstream_count)
         receiver = Receiver(self.parts, self.tree, chains, self.arrivals)
         dispatcher = Dispatcher(self.parts, receiver, self.retries)
         self.gate = IdempotencyGate(
