--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
@@ -9,7 +9,7 @@
     PEER_SECONDS,
     take_offer,
 )
-from papayabay_daemon._internal.membership.drawing import random_peers
+from papayabay_daemon._internal.membership.sampling import random_peers
 
 FAN_OUT = 3
 PARTNERS = 8
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    state : KeeperState
+    state : ConfigurationState
     links : Links
     random : random.Random
     readers : Readers
@@ -81,7 +81,7 @@
         except (ProtocolError, OSError, TimeoutError):
             self.state.counts["push_errors"] += 1
             return None
-        if offer.version > self.state.version.held.version:
+        if offer.version > self.state.version.latest.version:
             self.note_offer(offer.version, peer.name)
         self.state.receive_confirmation(offer, asked_at)
         return offer
