--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -156,10 +156,10 @@
         """
         if account.limit is not None:
             self.components.router.check(call)
-        await self.components.limits.take(account, rule)
+        await self.components.limits.acquire(account, rule)
         answer = await self.run_root(call, rule)
         if answer.effect is Effect.NOT_RUN:
-            self.components.limits.give_back(account)
+            self.components.limits.refund(account)
         return answer
 
     async def run_root(self, call, rule):
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -4,10 +4,10 @@
 
 from papayabay_daemon._internal.accounts import (
     Authenticator,
-    EqualParts,
-    KeeperLimiter,
-    KeeperRing,
-    LimitKeeper,
+    EqualShareLimiter,
+    LimitOwner,
+    OwnerLimiter,
+    OwnerRing,
     RateLimits,
 )
 from papayabay_daemon._internal.admission import AdmissionInputs, make_admission
@@ -47,7 +47,7 @@
 from papayabay_daemon._internal.status.routes import StatusRoutes
 from papayabay_daemon._internal.supervisor import Child, Supervisor
 from papayabay_daemon._internal.target import HttpTargetClient, TargetRegistry
-from papayabay_daemon._internal.target.asking import TargetAsking
+from papayabay_daemon._internal.target.discovery import TargetDiscovery
 from papayabay_daemon.environment import own_environment
 
 
@@ -117,7 +117,9 @@
         )
         self.registry.listeners.append(self.target_changed)
         dialect = self.environment.target_dialect
-        self.asking = TargetAsking(self.settings, self.policy, self.registry, dialect)
+        self.target_discovery = TargetDiscovery(
+            self.settings, self.policy, self.registry, dialect
+        )
         self.configuration.on_change(self.policy_changed)
         self.links.on_leaving(self.membership.mark_leaving)
         self.links.on_doubt(self.router.set_link_unresponsive)
@@ -150,18 +152,18 @@
         self.authenticator = Authenticator(
             self.policy, self.configuration.confirmer, self.random
         )
-        self.ring = ring = KeeperRing(self.membership)
-        self.limit_keeper = LimitKeeper(self.policy, ring, self.links)
-        self.token_asking = KeeperLimiter(
-            self.membership.local, ring, self.limit_keeper, self.links, self.random
+        self.ring = ring = OwnerRing(self.membership)
+        self.limit_owner = LimitOwner(self.policy, ring, self.links)
+        self.owner_limiter = OwnerLimiter(
+            self.membership.local, ring, self.limit_owner, self.links, self.random
         )
-        parts = EqualParts(self.membership)
+        parts = EqualShareLimiter(self.membership)
         self.limits = RateLimits(
             self.policy,
-            {"keepers": self.token_asking, "parts": parts},
+            {"keepers": self.owner_limiter, "parts": parts},
             self.random,
         )
-        for kept in (self.limits, self.token_asking, parts):
+        for kept in (self.limits, self.owner_limiter, parts):
             self.configuration.on_change(kept.policy_changed)
         self.links.confirmations = self.configuration.state
         self.table.era.listeners.append(self.configuration.state.store_restored)
@@ -240,7 +242,7 @@
         children = [
             Child("control", self.control.run),
             Child("target lease", self.registry.watch),
-            Child("target asking", self.asking.run),
+            Child("target asking", self.target_discovery.run),
             Child("metrics", self.metrics.run),
             Child("pause watch", self.pause.run),
             Child("quarantine", self.quarantine_propagation.run),
