--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/keeper.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
@@ -8,11 +8,11 @@
 from papayabay_daemon._internal.configuration.pulling import Puller
 from papayabay_daemon._internal.configuration.pushing import Pusher
 from papayabay_daemon._internal.configuration.readers import Readers
-from papayabay_daemon._internal.configuration.state import KeeperState
+from papayabay_daemon._internal.configuration.state import ConfigurationState
 from papayabay_daemon._internal.configuration.store import StoreReader
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """The configuration of this daemon, and its spread to others.
 
     Parameters
@@ -40,7 +40,7 @@
         clock=now,
         version_reader=StoreReader,
     ):
-        self.state = KeeperState(members, clock)
+        self.state = ConfigurationState(members, clock)
         self.version = self.state.version
         self.loaded = self.state.loaded
         self.counts = self.state.counts
@@ -91,9 +91,9 @@
         """Call back with each policy that comes in force."""
         self.version.listeners.append(callback)
 
-    def take_patches(self, patches):
-        """Take patches that are in the store; see `KeeperState`."""
-        return self.state.take_patches(patches)
+    def apply_patches(self, patches):
+        """Take patches that are in the store; see `ConfigurationState`."""
+        return self.state.apply_patches(patches)
 
     async def run(self):
         """Load, then read, pull and push until cancelled."""
@@ -116,7 +116,7 @@
         """Return the version in force and counters as plain values."""
         return {
             "version": self.version.current.version,
-            "held_version": self.version.held.version,
+            "held_version": self.version.latest.version,
             "confirmed": self.confirmed,
             "applied_at": self.applied_at,
             "not_in_force": self.version.refused,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
@@ -8,7 +8,7 @@
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.doors import headers as rules
 from papayabay_daemon._internal.doors.streaming import write_body
-from papayabay_daemon._internal.lifetime.timeouts import LifeTimeout
+from papayabay_daemon._internal.lifetime.timeouts import CallTimeout
 
 CHUNK_BYTES = 65_536
 
@@ -189,7 +189,7 @@
         if self.ended:
             raise StopAsyncIteration
         try:
-            with LifeTimeout(self.remaining()):
+            with CallTimeout(self.remaining()):
                 chunk = await self.exchange.message.payload.read(CHUNK_BYTES)
         except BaseException:
             self.end(complete=False)
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -12,13 +12,13 @@
 )
 from papayabay_daemon._internal.admission import AdmissionInputs, make_admission
 from papayabay_daemon._internal.calls.chains import ChainModel
+from papayabay_daemon._internal.calls.components import CallComponents, CallCounters
 from papayabay_daemon._internal.calls.dispatch import Dispatcher
 from papayabay_daemon._internal.calls.flow import CallFlow
-from papayabay_daemon._internal.calls.parts import CallCounters, Parts
-from papayabay_daemon._internal.calls.pause import PauseWatch
+from papayabay_daemon._internal.calls.pause import PauseDetector
 from papayabay_daemon._internal.calls.receive import Receiver
 from papayabay_daemon._internal.calls.tree import CallTree
-from papayabay_daemon._internal.configuration import ConfigurationKeeper
+from papayabay_daemon._internal.configuration import ConfigurationManager
 from papayabay_daemon._internal.decision_log import DecisionLog
 from papayabay_daemon._internal.doors import CallerDoor, StatusDoor
 from papayabay_daemon._internal.idempotency import IdempotencyGate
@@ -91,7 +91,7 @@
         self.membership = Membership(settings, self.table, self.links, self.random)
         self.links.local = self.membership.local
         self.membership.on_change(DeathLog().note)
-        self.keeper = ConfigurationKeeper(
+        self.configuration = ConfigurationManager(
             settings,
             environment.versions,
             self.membership,
@@ -120,9 +120,9 @@
         self.target_discovery = TargetDiscovery(
             self.settings, self.policy, self.registry, dialect
         )
-        self.keeper.on_change(self.policy_changed)
+        self.configuration.on_change(self.policy_changed)
         self.links.on_leaving(self.membership.mark_leaving)
-        self.links.on_doubt(self.router.note_doubt)
+        self.links.on_doubt(self.router.set_link_unresponsive)
 
     def build_quarantine(self):
         """Make what quarantines requests that crash targets."""
@@ -140,17 +140,17 @@
             self.membership,
             self.links,
             QuarantineRows(registry, self.table, self.membership),
-            self.keeper.readers,
+            self.configuration.readers,
             self.random,
         )
         detector = self.target.crash_detector
         detector.listeners.append(self.target_crashed)
-        detector.answer_listeners.append(self.quarantine.answered)
+        detector.answer_listeners.append(self.quarantine.record_answer)
 
     def build_accounts(self):
         """Make what knows client accounts."""
         self.authenticator = Authenticator(
-            self.policy, self.keeper.confirmer, self.random
+            self.policy, self.configuration.confirmer, self.random
         )
         self.ring = ring = OwnerRing(self.membership)
         self.limit_owner = LimitOwner(self.policy, ring, self.links)
@@ -164,13 +164,13 @@
             self.random,
         )
         for kept in (self.limits, self.owner_limiter, parts):
-            self.keeper.on_change(kept.policy_changed)
-        self.links.confirmations = self.keeper.state
-        self.table.era.listeners.append(self.keeper.state.store_restored)
+            self.configuration.on_change(kept.policy_changed)
+        self.links.confirmations = self.configuration.state
+        self.table.era.listeners.append(self.configuration.state.store_restored)
 
     def build_calls(self):
         """Make the call flow."""
-        self.parts = Parts(
+        self.call_components = CallComponents(
             settings=self.settings,
             local=self.membership.local,
             policy=self.policy,
@@ -190,10 +190,10 @@
         )
         self.tree = CallTree()
         chains = ChainModel(self.router)
-        self.admission.ask_below(chains.closed_paths)
-        self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstreams)
-        receiver = Receiver(self.parts, self.tree, chains, self.arrivals)
-        dispatcher = Dispatcher(self.parts, receiver, self.retries)
+        self.admission.set_downstream_source(chains.closed_paths)
+        self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstream_count)
+        receiver = Receiver(self.call_components, self.tree, chains, self.arrivals)
+        dispatcher = Dispatcher(self.call_components, receiver, self.retries)
         self.gate = IdempotencyGate(
             self.settings,
             self.membership.local,
@@ -202,9 +202,9 @@
             self.membership,
         )
         self.objectives = ObjectiveCounters()
-        self.pause = PauseWatch()
+        self.pause = PauseDetector()
         self.flow = CallFlow(
-            self.parts,
+            self.call_components,
             self.tree,
             dispatcher,
             self.gate,
@@ -212,9 +212,9 @@
             self.objectives,
             self.pause,
         )
-        self.gate.handle_forwarded(self.flow.dispatch_forwarded)
-        self.gate.check_before_claim(self.router.check)
-        self.links.handle_calls(receiver.receive, self.flow.forwarded)
+        self.gate.set_forwarded_dispatch(self.flow.dispatch_forwarded)
+        self.gate.set_claim_precheck(self.router.check)
+        self.links.handle_calls(receiver.receive, self.flow.handle_forwarded)
 
     def build_doors(self):
         """Make what listens, and the accounts that the daemon gives."""
@@ -225,7 +225,7 @@
         )
         self.listeners = self.environment.listeners(self)
         if settings.metrics.host is not None:
-            sources = self.parts.latencies, self.metrics.totals, self.levels
+            sources = self.call_components.latencies, self.metrics.totals, self.levels
             self.listeners.append(MetricsDoor(settings, *sources))
         routes = StatusRoutes(self)
         self.status_door = StatusDoor(settings, routes.reads(), routes.writes())
@@ -236,7 +236,7 @@
             "control",
             [
                 Child("membership", self.membership.run),
-                Child("configuration", self.keeper.run),
+                Child("configuration", self.configuration.run),
             ],
         )
         children = [
@@ -257,7 +257,7 @@
 
     def policy(self):
         """Return the policy in force."""
-        return self.keeper.policy
+        return self.configuration.policy
 
     def levels(self):
         """Return what metrics show beside counters, by dotted name."""
@@ -288,10 +288,10 @@
         if target is None:
             self.membership.withdraw()
         elif self.leaving or target.draining:
-            self.admission.leave()
+            self.admission.stop_admitting()
             self.membership.withdraw()
         else:
-            self.admission.open()
+            self.admission.resume_admitting()
             self.membership.announce(target.service, target.slots)
 
     def target_crashed(self, crash):
--- a/tests/unit/daemon/test_idempotency_interleaving.py
+++ b/tests/unit/daemon/test_idempotency_interleaving.py
@@ -101,11 +101,11 @@
                         cluster.table.apply(cluster.table.late.pop())
 
         def prepare(gate):
-            gate.handle_forwarded(dispatch)
+            gate.set_forwarded_dispatch(dispatch)
             if not limited:
                 gate.claims.budget.admit = lambda: None
             if small:
-                gate.known.max_bytes = attempts.LIVE_BYTES
+                gate.key_table.max_bytes = attempts.LIVE_BYTES
 
         calls, old, call_effects = [], [], set()
         limited, small = chance.random() < 0.3, chance.random() < 0.3
