--- a/tests/unit/daemon/test_account_calls.py
+++ b/tests/unit/daemon/test_account_calls.py
@@ -33,12 +33,12 @@
     """Return a flow that can create calls but not send them."""
     settings = make_settings("d1")
     calls = settings.calls.model_copy(update={"infer_parents": True})
-    parts = SimpleNamespace(
+    components = SimpleNamespace(
         policy=lambda: policy,
         settings=settings.model_copy(update={"calls": calls}),
         accounts=authenticator_of(policy),
     )
-    return CallFlow(parts, tree or CallTree(), None, None, None, None, None)
+    return CallFlow(components, tree or CallTree(), None, None, None, None, None)
 
 
 def request(*fields, **values):
--- a/tests/unit/daemon/test_limited_calls.py
+++ b/tests/unit/daemon/test_limited_calls.py
@@ -26,8 +26,8 @@
 class LimitedFlow(CallFlow):
     """A flow whose requests get a fixed answer."""
 
-    def __init__(self, parts, answer):
-        super().__init__(parts, None, None, None, None, None, None)
+    def __init__(self, components, answer):
+        super().__init__(components, None, None, None, None, None, None)
         self.answer = answer
 
     async def run_root(self, call, rule):
@@ -44,8 +44,8 @@
 
         self.limits = CountingLimits()
         router = SimpleNamespace(check=check)
-        parts = SimpleNamespace(limits=self.limits, router=router)
-        flow = LimitedFlow(parts, answer)
+        components = SimpleNamespace(limits=self.limits, router=router)
+        flow = LimitedFlow(components, answer)
         return asyncio.run(flow.run_limited(None, None, ACCOUNT))
 
     def test_a_request_refused_for_overload_takes_no_token(self):
