--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claimed.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/caller_keys.py
@@ -5,29 +5,29 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.utils.identifiers import new_identifier
 from papayabay_daemon._internal.idempotency import keys
-from papayabay_daemon._internal.idempotency.attempts import KeyState
 from papayabay_daemon._internal.idempotency.claims import (
     AmbiguousClaim,
     Claim,
     claim_key,
 )
+from papayabay_daemon._internal.idempotency.key_table import KeyState
 
 
 def accept_all(call):
     """Let every call try for its claim."""
 
 
-class ClaimedKeys:
+class CallerKeys:
     """Runs calls under claims, one attempt per key in the whole cluster.
 
     Parameters
     ----------
     state : GateState
-    runner : Runner
-    repeats : Repeats
-    holders : Holders
+    runner : AttemptRunner
+    repeat_handler : RepeatHandler
+    owners : ClaimOwners
     held : HeldClaims
-    settling : Settling
+    outcome_writer : OutcomeWriter
     release_wait : float
         Most seconds that a call waits for its key's release.
 
@@ -37,13 +37,15 @@
         Asked before a first claim; see `IdempotencyGate.set_claim_precheck`.
     """
 
-    def __init__(self, state, runner, repeats, holders, held, settling, release_wait):
+    def __init__(
+        self, state, runner, repeat_handler, owners, held, outcome_writer, release_wait
+    ):
         self.state = state
         self.runner = runner
-        self.repeats = repeats
-        self.holders = holders
+        self.repeat_handler = repeat_handler
+        self.owners = owners
         self.held = held
-        self.settling = settling
+        self.outcome_writer = outcome_writer
         self.release_wait = release_wait
         self.precheck = accept_all
 
@@ -63,10 +65,10 @@
             await self.wait_released(entry, call)
             entry = self.state.key_table.get(scope)
         if entry is not None:
-            return await self.repeats.repeat(entry, call, digest, may_forward)
-        holder = self.holders.get(scope) if may_forward else None
+            return await self.repeat_handler.answer(entry, call, digest, may_forward)
+        holder = self.owners.get(scope) if may_forward else None
         if holder is not None:
-            return await self.holders.ask(holder, call)
+            return await self.owners.forward(holder, call)
         return await self.run_new(scope, call, digest, dispatch, may_forward)
 
     async def run_held(self, scope, entry, call, dispatch):
@@ -83,7 +85,9 @@
         result = await self.runner.start(entry, attempt)
         if not isinstance(result, Claim):
             return result
-        return await self.repeats.answer_from(result, call, digest, may_forward)
+        return await self.repeat_handler.answer_from_claim(
+            result, call, digest, may_forward
+        )
 
     def add_claiming(self, scope, call, digest):
         """Return the entry of a key that is about to be claimed.
@@ -129,7 +133,7 @@
             entry.digest,
             new_identifier(),
             self.state.local.name,
-            self.state.mint_keys.life,
+            self.state.key_mint.life,
         )
         try:
             other = await self.state.claims.take(
@@ -140,7 +144,7 @@
             # `not run` is true; the entry stays until the store has told
             # that the claim is given back, or a repeat would find a claim
             # that nobody can answer for.
-            self.settling.release(scope, entry, claim)
+            self.outcome_writer.release(scope, entry, claim)
             return CallError(ErrorKind.STORE_UNAVAILABLE, "the claim is unclear")
         except CallError as error:
             self.state.key_table.remove(scope, entry)
@@ -159,5 +163,5 @@
         if entry.state is KeyState.HELD:
             self.held.hold(scope, entry, claim)
         else:
-            self.settling.settle_later(scope, entry, claim)
+            self.outcome_writer.settle_later(scope, entry, claim)
         return result
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -5,15 +5,15 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.idempotency import answers, keys
-from papayabay_daemon._internal.idempotency.attempts import KeyTable
-from papayabay_daemon._internal.idempotency.claimed import ClaimedKeys
+from papayabay_daemon._internal.idempotency.caller_keys import CallerKeys
 from papayabay_daemon._internal.idempotency.claims import ClaimStore
 from papayabay_daemon._internal.idempotency.held import HeldClaims
-from papayabay_daemon._internal.idempotency.holders import Holders
 from papayabay_daemon._internal.idempotency.home import HomeKeys, home_gone
-from papayabay_daemon._internal.idempotency.repeats import Repeats
-from papayabay_daemon._internal.idempotency.running import Runner
-from papayabay_daemon._internal.idempotency.settling import Settling
+from papayabay_daemon._internal.idempotency.key_table import KeyTable
+from papayabay_daemon._internal.idempotency.outcomes import OutcomeWriter
+from papayabay_daemon._internal.idempotency.owners import ClaimOwners
+from papayabay_daemon._internal.idempotency.repeats import RepeatHandler
+from papayabay_daemon._internal.idempotency.runner import AttemptRunner
 from papayabay_daemon._internal.idempotency.state import GateState
 
 KEYED_BODY_BYTES = 1024 * 1024
@@ -57,23 +57,23 @@
         What is remembered of keys.
     held : dict
         Entries of claims that were not run, the longest held first.
-    holders : dict
+    owners : dict
         Names of the daemons that claimed keys which were repeated here.
     """
 
     def __init__(
         self, settings, local, table, links, members, clock=now, sleep=asyncio.sleep
     ):
-        mint_keys = keys.KeyMint(
+        key_mint = keys.KeyMint(
             settings.cluster.secret, local.name, local.incarnation, clock
         )
         timeout = settings.platform.timeout_ms / 1000
         self.clock = clock
-        self.mint_keys = mint_keys
+        self.key_mint = key_mint
         self.claims = ClaimStore(table, clock, sleep, timeout)
         self.key_table = KeyTable(clock)
         self.state = GateState(
-            local, links, members, clock, mint_keys, self.claims, self.key_table
+            local, links, members, clock, key_mint, self.claims, self.key_table
         )
         self.counters = self.state.counters
         self.tasks = self.state.tasks
@@ -83,17 +83,23 @@
     def assemble(self, timeout):
         """Make the parts, each with those that it uses."""
         state = self.state
-        runner = Runner(state)
-        settling = Settling(state)
-        hints = Holders(state)
-        self.held_claims = HeldClaims(state, settling)
-        self.repeats = Repeats(state, hints)
-        self.home = HomeKeys(state, runner, self.repeats)
-        self.claimed = ClaimedKeys(
-            state, runner, self.repeats, hints, self.held_claims, settling, timeout
+        runner = AttemptRunner(state)
+        outcome_writer = OutcomeWriter(state)
+        owners = ClaimOwners(state)
+        self.held_claims = HeldClaims(state, outcome_writer)
+        self.repeat_handler = RepeatHandler(state, owners)
+        self.home = HomeKeys(state, runner, self.repeat_handler)
+        self.caller_keys = CallerKeys(
+            state,
+            runner,
+            self.repeat_handler,
+            owners,
+            self.held_claims,
+            outcome_writer,
+            timeout,
         )
         self.held = self.held_claims.entries
-        self.holders = hints.names
+        self.owners = owners.names_by_key
 
     def set_forwarded_dispatch(self, dispatch):
         """Set what sends on calls that other daemons forward to this one."""
@@ -108,18 +114,18 @@
             Takes the call; raises a ``not run`` `CallError` when it would be
             refused at once, so that no write is spent on it.
         """
-        self.claimed.precheck = precheck
+        self.caller_keys.precheck = precheck
 
     def mint(self):
         """Return a fresh key bound to this process.
 
         It is good for `keys.HOME_KEY_LIFE` seconds.
         """
-        return self.mint_keys.mint()
+        return self.key_mint.mint()
 
     def parse(self, key):
         """Return the `HomeKey` of a key, or None; see `KeyMint.parse`."""
-        return self.mint_keys.parse(key)
+        return self.key_mint.parse(key)
 
     async def run(self, call, rule, dispatch):
         """Run a keyed call, or answer it with what became of its key.
@@ -153,8 +159,8 @@
             raise CallError(ErrorKind.BAD_REQUEST, detail)
         await self.read_body(call)
         if home is None:
-            return await self.claimed.run(call, dispatch, may_forward=True)
-        if self.mint_keys.is_ours(home):
+            return await self.caller_keys.run(call, dispatch, may_forward=True)
+        if self.key_mint.is_ours(home):
             return await self.home.run(call, home, dispatch)
         return await self.home.forward(call, home)
 
@@ -170,8 +176,8 @@
         await self.read_body(call)
         dispatch = self.forwarded_dispatch
         if home is None:
-            return await self.claimed.run(call, dispatch, may_forward=False)
-        if self.mint_keys.is_ours(home):
+            return await self.caller_keys.run(call, dispatch, may_forward=False)
+        if self.key_mint.is_ours(home):
             return await self.home.run(call, home, dispatch)
         raise home_gone()
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
@@ -20,7 +20,7 @@
     Parameters
     ----------
     state : GateState
-    settling : Settling
+    outcome_writer : OutcomeWriter
 
     Attributes
     ----------
@@ -28,9 +28,9 @@
         Entries by (service, key), the longest held first.
     """
 
-    def __init__(self, state, settling):
+    def __init__(self, state, outcome_writer):
         self.state = state
-        self.settling = settling
+        self.outcome_writer = outcome_writer
         self.entries = {}
 
     def hold(self, scope, entry, claim):
@@ -83,4 +83,4 @@
         self.state.key_table.resume(entry)
         self.state.counters["released"] += 1
         claim, entry.claim = entry.claim, None
-        self.settling.release(scope, entry, claim)
+        self.outcome_writer.release(scope, entry, claim)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
@@ -2,7 +2,7 @@
 
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_daemon._internal.idempotency import keys
-from papayabay_daemon._internal.idempotency.attempts import KeyState
+from papayabay_daemon._internal.idempotency.key_table import KeyState
 
 
 class HomeKeys:
@@ -11,14 +11,14 @@
     Parameters
     ----------
     state : GateState
-    runner : Runner
-    repeats : Repeats
+    runner : AttemptRunner
+    repeat_handler : RepeatHandler
     """
 
-    def __init__(self, state, runner, repeats):
+    def __init__(self, state, runner, repeat_handler):
         self.state = state
         self.runner = runner
-        self.repeats = repeats
+        self.repeat_handler = repeat_handler
 
     async def forward(self, call, home):
         """Forward a call to the daemon that its key is bound to.
@@ -26,7 +26,7 @@
         The home itself tells whether it is still the process that minted
         the key: its incarnation in gossip also grows without a restart.
         """
-        member = self.state.living(home.home)
+        member = self.state.live_member(home.home)
         if member is None or home.home == self.state.local.name:
             raise home_gone()
         self.state.counters["forwarded_out"] += 1
@@ -38,7 +38,9 @@
         digest = keys.call_digest(call)
         entry = self.state.key_table.get(scope)
         if entry is not None:
-            return await self.repeats.repeat(entry, call, digest, may_forward=False)
+            return await self.repeat_handler.answer(
+                entry, call, digest, may_forward=False
+            )
         expires_at = home.issued_ms / 1000 + keys.HOME_KEY_LIFE
         if self.state.clock() >= expires_at:
             # What is remembered of a key goes after this time. To run it
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/settling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
@@ -4,8 +4,8 @@
 from dataclasses import replace
 
 from papayabay_daemon._internal.idempotency import answers, keys
-from papayabay_daemon._internal.idempotency.attempts import KeyState
 from papayabay_daemon._internal.idempotency.claims import ClaimState, claim_key
+from papayabay_daemon._internal.idempotency.key_table import KeyState
 
 CLAIM_MEMORY = 60.0
 """Seconds that a claimed key is remembered once its outcome is stored."""
@@ -13,7 +13,7 @@
 """The same for an answer too large for the row; only memory holds it."""
 
 
-class Settling:
+class OutcomeWriter:
     """Writes what became of claims, then lets their entries go.
 
     Parameters
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/holders.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/owners.py
@@ -2,11 +2,11 @@
 
 from papayabay_core.errors import CallError, ErrorKind
 
-HOLDERS = 4_096
+MAX_OWNER_HINTS = 4_096
 """Most keys of which it is remembered who claimed them."""
 
 
-class Holders:
+class ClaimOwners:
     """Remembers claimants of keys that were repeated here.
 
     To ask the store each time would cost a write that fails. A hint may be
@@ -19,40 +19,40 @@
 
     Attributes
     ----------
-    names : dict
+    names_by_key : dict
         Names of daemons by (service, key), the oldest hint first.
     """
 
     def __init__(self, state):
         self.state = state
-        self.names = {}
+        self.names_by_key = {}
 
     def get(self, scope):
         """Return the member that claimed a key when last seen, or None."""
-        name = self.names.get(scope)
-        member = self.state.living(name) if name else None
+        name = self.names_by_key.get(scope)
+        member = self.state.live_member(name) if name else None
         if member is None:
-            self.names.pop(scope, None)
+            self.names_by_key.pop(scope, None)
         return member
 
-    def note(self, scope, name):
+    def remember(self, scope, name):
         """Remember who claimed a key; the oldest hint goes beyond the cap."""
-        self.names.pop(scope, None)
-        self.names[scope] = name
-        if len(self.names) > HOLDERS:
-            del self.names[next(iter(self.names))]
+        self.names_by_key.pop(scope, None)
+        self.names_by_key[scope] = name
+        if len(self.names_by_key) > MAX_OWNER_HINTS:
+            del self.names_by_key[next(iter(self.names_by_key))]
 
-    async def ask(self, member, call):
+    async def forward(self, member, call):
         """Ask the claimant, which knows what became of the call."""
         self.state.counters["forwarded_out"] += 1
         scope = (call.service, call.idempotency_key)
-        self.note(scope, member.name)
+        self.remember(scope, member.name)
         try:
             return await self.state.links.forward(member, call)
         except CallError as error:
             if error.kind is not ErrorKind.LINK_UNAVAILABLE:
                 raise
-            self.names.pop(scope, None)
+            self.names_by_key.pop(scope, None)
             # The key's first call may have run, so `not run` would mislead.
             detail = "the daemon that runs it can't be reached now"
             raise CallError(ErrorKind.KEY_IN_PROGRESS, detail) from error
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
@@ -4,25 +4,25 @@
 
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_daemon._internal.idempotency import answers
-from papayabay_daemon._internal.idempotency.attempts import KeyState
 from papayabay_daemon._internal.idempotency.claims import Claim, ClaimState
-from papayabay_daemon._internal.idempotency.running import is_running, result_of
+from papayabay_daemon._internal.idempotency.key_table import KeyState
+from papayabay_daemon._internal.idempotency.runner import is_running, result_of
 
 
-class Repeats:
+class RepeatHandler:
     """Answers repeats; it never runs anything.
 
     Parameters
     ----------
     state : GateState
-    holders : Holders
+    owners : ClaimOwners
     """
 
-    def __init__(self, state, holders):
+    def __init__(self, state, owners):
         self.state = state
-        self.holders = holders
+        self.owners = owners
 
-    async def repeat(self, entry, call, digest, may_forward):
+    async def answer(self, entry, call, digest, may_forward):
         """Answer a call whose key is known here."""
         if entry.digest != digest:
             self.state.counters["conflicts"] += 1
@@ -30,7 +30,7 @@
         if entry.state is KeyState.RUNNING or is_running(entry.task):
             return await self.join(entry, call, may_forward)
         self.state.counters["repeats"] += 1
-        return self.recorded(entry, call)
+        return self.recorded_answer(entry, call)
 
     async def join(self, entry, call, may_forward):
         """Wait for the running attempt while the repeat's own life lasts."""
@@ -46,12 +46,12 @@
             raise CallError(ErrorKind.KEY_IN_PROGRESS)
         result = result_of(task)
         if isinstance(result, Claim):
-            return await self.answer_from(result, call, entry.digest, may_forward)
+            return await self.answer_from_claim(result, call, entry.digest, may_forward)
         if entry.state is KeyState.DONE:
-            return self.recorded(entry, call)
+            return self.recorded_answer(entry, call)
         return answers.repeated(result, call)
 
-    def recorded(self, entry, call):
+    def recorded_answer(self, entry, call):
         """Return the first answer again, or say what is known instead."""
         if entry.state is KeyState.DONE and entry.answer is None:
             detail = "it was run; its answer was too large to be kept"
@@ -62,7 +62,7 @@
             raise CallError(ErrorKind.STORE_UNAVAILABLE, "a claim isn't released yet")
         raise CallError(ErrorKind.OUTCOME_UNKNOWN)
 
-    async def answer_from(self, claim, call, digest, may_forward):
+    async def answer_from_claim(self, claim, call, digest, may_forward):
         """Answer a call whose key another attempt claimed.
 
         A claim is never taken over while its outcome is open: its holder may
@@ -70,7 +70,7 @@
         """
         if claim.state is None:
             raise CallError(ErrorKind.OUTCOME_UNKNOWN, "the claim can't be read")
-        member = self.state.living(claim.daemon)
+        member = self.state.live_member(claim.daemon)
         if claim.digest != digest:
             # The claimant may only hold the claim, unrun, and then frees the
             # key for another request; it alone can tell.
@@ -79,7 +79,7 @@
                 and claim.daemon != self.state.local.name
             )
             if open_elsewhere and may_forward and member is not None:
-                return await self.holders.ask(member, call)
+                return await self.owners.forward(member, call)
             self.state.counters["conflicts"] += 1
             raise CallError(ErrorKind.KEY_CONFLICT)
         answer = unpack_recorded(claim)
@@ -89,12 +89,12 @@
         if claim.state is ClaimState.UNKNOWN or member is None:
             raise CallError(ErrorKind.OUTCOME_UNKNOWN)
         if claim.daemon == self.state.local.name:
-            return await self.answer_own(claim, call, digest)
+            return await self.answer_from_memory(claim, call, digest)
         if not may_forward:
             raise CallError(ErrorKind.KEY_IN_PROGRESS)
-        return await self.holders.ask(member, call)
+        return await self.owners.forward(member, call)
 
-    async def answer_own(self, claim, call, digest):
+    async def answer_from_memory(self, claim, call, digest):
         """Answer from this daemon's memory for a claim in its name.
 
         An earlier process of this name has taken its memory with it. This
@@ -102,9 +102,9 @@
         so a row that still shows it claimed was read stale.
         """
         entry = self.state.key_table.get((call.service, call.idempotency_key))
-        ours = claim.life == self.state.mint_keys.life
+        ours = claim.life == self.state.key_mint.life
         if entry is not None and ours:
-            return await self.repeat(entry, call, digest, may_forward=False)
+            return await self.answer(entry, call, digest, may_forward=False)
         if ours and claim.state is ClaimState.CLAIMED:
             raise CallError(ErrorKind.KEY_IN_PROGRESS, "the claim is changing")
         raise CallError(ErrorKind.OUTCOME_UNKNOWN)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/running.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
@@ -5,13 +5,13 @@
 from papayabay_core.calls import Answer
 from papayabay_core.errors import CallError, Effect, ErrorKind
 from papayabay_daemon._internal.idempotency import answers
-from papayabay_daemon._internal.idempotency.attempts import KeyState
+from papayabay_daemon._internal.idempotency.key_table import KeyState
 
 DISPATCH_GRACE = 0.5
 """Seconds after a call's life for its dispatch to say how it ended."""
 
 
-class Runner:
+class AttemptRunner:
     """Starts attempts and notes in their entries what became of them.
 
     An attempt runs in a task of its own, so that a caller who leaves doesn't
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/state.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/state.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from papayabay_core.errors import CallError, ErrorKind
-from papayabay_daemon._internal.idempotency.attempts import KeyTable
 from papayabay_daemon._internal.idempotency.claims import ClaimStore
+from papayabay_daemon._internal.idempotency.key_table import KeyTable
 from papayabay_daemon._internal.idempotency.keys import KeyMint
 from papayabay_daemon._internal.interfaces import Links, Member, Members, MemberState
 
@@ -24,7 +24,7 @@
     members : Members
     clock : callable
         Returns seconds.
-    mint_keys : KeyMint
+    key_mint : KeyMint
     claims : ClaimStore
     key_table : KeyTable
     counters : Counter
@@ -38,7 +38,7 @@
     links: Links
     members: Members
     clock: Callable[[], float]
-    mint_keys: KeyMint
+    key_mint: KeyMint
     claims: ClaimStore
     key_table: KeyTable
     counters: Counter = field(default_factory=Counter)
@@ -50,7 +50,7 @@
         if self.closing:
             raise CallError(ErrorKind.LEAVING)
 
-    def living(self, name):
+    def live_member(self, name):
         """Return the member of a name, or None when it is gone."""
         member = self.members.get(name)
         gone = member is None or member.state is MemberState.DEAD
--- a/tests/unit/daemon/test_idempotency_held.py
+++ b/tests/unit/daemon/test_idempotency_held.py
@@ -5,7 +5,7 @@
 
 from papayabay_core.calls import Answer, Body
 from papayabay_core.errors import ERROR_ANSWERS, CallError, Effect, ErrorKind
-from papayabay_daemon._internal.idempotency import held, holders
+from papayabay_daemon._internal.idempotency import held, owners
 from papayabay_daemon._internal.idempotency.claims import claim_key
 from papayabay_daemon._internal.idempotency.held import HELD_MEMORY
 from papayabay_daemon._internal.interfaces import MemberState
@@ -61,7 +61,7 @@
         self.cluster.cut = True
         kind = await self.kind_at("b", "own")
         self.assertIs(kind, ErrorKind.KEY_IN_PROGRESS)
-        self.assertEqual(gate.holders, {})
+        self.assertEqual(gate.owners, {})
         self.cluster.cut = False
         await self.refuse("b", "own")
         await self.cluster.gates["a"].close(WAIT)
@@ -74,8 +74,8 @@
 
     async def test_hints_in_a_circle_send_no_call_round(self):
         scope = ("orders", "own")
-        self.cluster.gates["a"].holders[scope] = "b"
-        self.cluster.gates["b"].holders[scope] = "a"
+        self.cluster.gates["a"].owners[scope] = "b"
+        self.cluster.gates["b"].owners[scope] = "a"
         self.assertEqual((await self.run_at("a", "own")).status, 201)
         self.assertEqual(self.cluster.gates["b"].counters["forwarded_in"], 1)
 
@@ -84,14 +84,14 @@
         await self.refuse("b", "own")
         self.cluster.members["a"].state = MemberState.DEAD
         self.assertIs(await self.kind_at("b", "own"), ErrorKind.OUTCOME_UNKNOWN)
-        self.assertEqual(self.cluster.gates["b"].holders, {})
+        self.assertEqual(self.cluster.gates["b"].owners, {})
 
     async def test_hints_are_bounded(self):
-        with mock.patch.object(holders, "HOLDERS", 2):
+        with mock.patch.object(owners, "MAX_OWNER_HINTS", 2):
             for number in range(4):
                 await self.refuse("a", f"own {number}")
                 await self.refuse("b", f"own {number}")
-        self.assertEqual(len(self.cluster.gates["b"].holders), 2)
+        self.assertEqual(len(self.cluster.gates["b"].owners), 2)
 
     async def test_any_refusal_from_below_is_held(self):
         gate = self.cluster.gates["a"]
--- a/tests/unit/daemon/test_idempotency_interleaving.py
+++ b/tests/unit/daemon/test_idempotency_interleaving.py
@@ -13,7 +13,7 @@
 from papayabay_core.exceptions import (
     ConditionFailed,
 )
-from papayabay_daemon._internal.idempotency import attempts
+from papayabay_daemon._internal.idempotency import key_table
 from papayabay_daemon._internal.idempotency.held import HELD_MEMORY
 from papayabay_daemon._internal.interfaces import MemberState
 from tests.unit.daemon.idempotency_support import EITHER, WAIT, Cluster
@@ -105,7 +105,7 @@
             if not limited:
                 gate.claims.budget.admit = lambda: None
             if small:
-                gate.key_table.max_bytes = attempts.LIVE_BYTES
+                gate.key_table.max_bytes = key_table.LIVE_BYTES
 
         calls, old, call_effects = [], [], set()
         limited, small = chance.random() < 0.3, chance.random() < 0.3
--- a/tests/unit/daemon/test_idempotency_keys.py
+++ b/tests/unit/daemon/test_idempotency_keys.py
@@ -3,7 +3,7 @@
 import unittest
 
 from papayabay_core.errors import ErrorKind
-from papayabay_daemon._internal.idempotency import attempts
+from papayabay_daemon._internal.idempotency import key_table
 from papayabay_daemon._internal.interfaces import MemberState
 from tests.unit.daemon.idempotency_support import (
     CLAIM,
@@ -34,17 +34,17 @@
         self.assertEqual(self.target.effects, 0)
 
     async def test_full_table_refuses_rather_than_forgets(self):
-        key_table = self.cluster.gates["a"].key_table
-        key_table.max_bytes = 1
+        table = self.cluster.gates["a"].key_table
+        table.max_bytes = 1
         keys = [self.cluster.gates["a"].mint() for _ in range(2)]
         await self.run_at("a", keys[0])
         self.assertIs(await self.kind_at("a", keys[1]), ErrorKind.OVERLOADED)
         self.assertEqual((await self.run_at("a", keys[0])).body.first, b"done 1")
-        self.cluster.clock.time += 901 + attempts.BUCKET_SECONDS
-        key_table.drop_expired()
+        self.cluster.clock.time += 901 + key_table.BUCKET_SECONDS
+        table.drop_expired()
         kind = await self.kind_at("a", keys[0])
         self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
-        self.assertEqual(key_table.bytes, 0)
+        self.assertEqual(table.bytes, 0)
 
 
 class HomeTests(GateCase):
@@ -84,35 +84,35 @@
 class RecordTests(unittest.TestCase):
     def test_decided_keys_shrink_and_bytes_return(self):
         clock = FakeClock()
-        table = attempts.KeyTable(clock)
+        table = key_table.KeyTable(clock)
         scope, other = ("orders", "one"), ("orders", "two")
         for name, state in (
-            (scope, attempts.KeyState.DONE),
-            (other, attempts.KeyState.UNKNOWN),
+            (scope, key_table.KeyState.DONE),
+            (other, key_table.KeyState.UNKNOWN),
         ):
-            entry = table.add(name, "ab" * attempts.DIGEST_BYTES)
+            entry = table.add(name, "ab" * key_table.DIGEST_BYTES)
             entry.state = state
             if name is scope:
                 table.keep_answer(entry, b"answer")
             table.retire(name, entry, clock() + 60)
         self.assertEqual(table.entries, {})
         self.assertEqual(table.get(scope).answer, b"answer")
-        self.assertIs(table.get(other).state, attempts.KeyState.UNKNOWN)
+        self.assertIs(table.get(other).state, key_table.KeyState.UNKNOWN)
         self.assertIsNone(table.get(other).answer)
-        self.assertEqual(table.get(scope).digest, "ab" * attempts.DIGEST_BYTES)
+        self.assertEqual(table.get(scope).digest, "ab" * key_table.DIGEST_BYTES)
         clock.time += 59
         table.drop_expired()
         self.assertIsNotNone(table.get(scope))
-        clock.time += 1 + attempts.BUCKET_SECONDS
+        clock.time += 1 + key_table.BUCKET_SECONDS
         table.drop_expired()
         self.assertIsNone(table.get(scope))
         self.assertEqual(table.bytes, 0)
 
     def test_large_answer_without_room_is_not_kept(self):
-        table = attempts.KeyTable(FakeClock(), attempts.LARGE_ANSWER_BYTES * 2)
+        table = key_table.KeyTable(FakeClock(), key_table.LARGE_ANSWER_BYTES * 2)
         entry = table.add(("orders", "one"), "")
-        table.keep_answer(entry, bytes(attempts.LARGE_ANSWER_BYTES * 2))
+        table.keep_answer(entry, bytes(key_table.LARGE_ANSWER_BYTES * 2))
         self.assertIsNone(entry.answer)
         self.assertEqual(table.counters["not_kept"], 1)
-        table.keep_answer(entry, bytes(attempts.LARGE_ANSWER_BYTES))
+        table.keep_answer(entry, bytes(key_table.LARGE_ANSWER_BYTES))
         self.assertIsNotNone(entry.answer)
--- a/tests/unit/daemon/test_idempotency_stale.py
+++ b/tests/unit/daemon/test_idempotency_stale.py
@@ -22,10 +22,10 @@
         claim = Claim(digest, "attempt", "a", "former process")
         gate = self.cluster.gates["a"]
         with self.assertRaises(CallError) as caught:
-            await gate.repeats.answer_own(claim, call, digest)
+            await gate.repeat_handler.answer_from_memory(claim, call, digest)
         self.assertIs(caught.exception.kind, ErrorKind.OUTCOME_UNKNOWN)
-        claim.life = gate.mint_keys.life
-        answer = await gate.repeats.answer_own(claim, call, digest)
+        claim.life = gate.key_mint.life
+        answer = await gate.repeat_handler.answer_from_memory(claim, call, digest)
         self.assertEqual(answer.body.first, b"done 1")
 
     async def test_older_revision_read_runs_nothing_twice(self):
