--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""At most once: keys, claims and outcomes of non-idempotent calls."""
+"""At-most-once execution of non-idempotent calls by idempotency key."""
 
 from papayabay_daemon._internal.idempotency.gate import IdempotencyGate
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/answers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/answers.py
@@ -1,4 +1,4 @@
-"""Bodies read whole, and answers kept for repeats."""
+"""Reading of whole bodies, and storage formats of recorded answers."""
 
 import base64
 import binascii
@@ -7,20 +7,21 @@
 
 from papayabay_core.calls import Answer, Body
 
-KEPT_BODY_BYTES = 1024 * 1024
-"""Largest answer kept in memory."""
-ROW_BODY_BYTES = 64 * 1024
-"""Largest answer kept in a claim's row."""
+MAX_KEPT_BODY_BYTES = 1024 * 1024
+"""Largest answer body kept in memory, in bytes."""
+MAX_ROW_BODY_BYTES = 64 * 1024
+"""Largest answer body stored in a claim's row, in bytes."""
 
 
 async def read_up_to(body, limit):
-    """Return the body with as much at hand as the limit allows.
+    """Return the body, buffered whole if it is no larger than the limit.
 
     Parameters
     ----------
     body : Body
     limit : int
-        Bytes. A longer body keeps its rest, and loses nothing.
+        Bytes. A longer body is returned with what was read so far buffered
+        and the remainder still to be streamed.
     """
     if body.whole:
         return body
@@ -36,17 +37,18 @@
 
 
 async def close_rest(body):
-    """Close a body's rest that nobody will read."""
+    """Close the unread remainder of a streamed body."""
     close = getattr(body.rest, "aclose", None)
     if close is not None:
         await close()
 
 
-def repeated(answer, call):
-    """Return a recorded answer as a repeat gets it.
+def answer_for_repeat(answer, call):
+    """Return a copy of a recorded answer for a call that repeats its key.
 
-    The repeat spent none of its own retry credits, and the first call's
-    credits and load state are not handed out twice.
+    The repeat spent none of its own retry credits, so it gets all of them
+    back. The credits and the load state of the first call were returned with
+    the first answer and must not be returned twice.
     """
     return replace(
         answer,
@@ -57,22 +59,22 @@
     )
 
 
-def to_bytes(answer):
-    """Return a target's whole answer as bytes, small to keep."""
+def encode_answer(answer):
+    """Return a target's whole answer in a compact encoding for memory."""
     head = json.dumps([answer.status, answer.headers], separators=(",", ":"))
     return head.encode() + b"\n" + answer.body.first
 
 
-def from_bytes(kept):
-    """Return the answer of `to_bytes`."""
-    head, _, body = kept.partition(b"\n")
+def decode_answer(encoded):
+    """Return the answer that `encode_answer` encoded."""
+    head, _, body = encoded.partition(b"\n")
     status, headers = json.loads(head)
     return Answer(status, [(name, value) for name, value in headers], Body(body))
 
 
 def pack_answer(answer):
-    """Return an answer as JSON values; None when too large for a row."""
-    if len(answer.body.first) > ROW_BODY_BYTES:
+    """Return an answer as JSON values, or None if too large for a row."""
+    if len(answer.body.first) > MAX_ROW_BODY_BYTES:
         return None
     return {
         "status": answer.status,
@@ -82,7 +84,7 @@
 
 
 def unpack_answer(values):
-    """Return the answer of JSON values; None when they are not one."""
+    """Return the answer that JSON values describe, or None if malformed."""
     try:
         headers = [(str(name), str(value)) for name, value in values["headers"]]
         body = base64.b64decode(values["body"], validate=True)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -16,7 +16,7 @@
 from papayabay_daemon._internal.idempotency.runner import AttemptRunner
 from papayabay_daemon._internal.idempotency.state import GateState
 
-KEYED_BODY_BYTES = 1024 * 1024
+MAX_KEYED_BODY_BYTES = 1024 * 1024
 """Largest request body of a keyed call; it is digested whole."""
 CLOSE_TIMEOUT = 5.0
 
@@ -209,9 +209,9 @@
             return
         try:
             async with asyncio.timeout(call.expires_at - self.clock()):
-                call.body = await answers.read_up_to(call.body, KEYED_BODY_BYTES)
+                call.body = await answers.read_up_to(call.body, MAX_KEYED_BODY_BYTES)
         except TimeoutError:
             raise CallError(ErrorKind.EXPIRED_UNSENT) from None
         if not call.body.whole:
-            detail = f"a keyed call's body is at most {KEYED_BODY_BYTES} bytes"
+            detail = f"a keyed call's body is at most {MAX_KEYED_BODY_BYTES} bytes"
             raise CallError(ErrorKind.BODY_TOO_LARGE, detail)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
@@ -39,7 +39,7 @@
         entry.task = None
         claim = replace(claim, state=row_state(entry))
         if entry.answer is not None:
-            claim.answer = answers.pack_answer(answers.from_bytes(entry.answer))
+            claim.answer = answers.pack_answer(answers.decode_answer(entry.answer))
         self.state.spawn(self.settle(scope, entry, claim))
 
     async def settle(self, scope, entry, claim):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
@@ -49,7 +49,7 @@
             return await self.answer_from_claim(result, call, entry.digest, may_forward)
         if entry.state is KeyState.DONE:
             return self.recorded_answer(entry, call)
-        return answers.repeated(result, call)
+        return answers.answer_for_repeat(result, call)
 
     def recorded_answer(self, entry, call):
         """Return the first answer again, or say what is known instead."""
@@ -57,7 +57,7 @@
             detail = "it was run; its answer was too large to be kept"
             raise CallError(ErrorKind.OUTCOME_UNKNOWN, detail)
         if entry.state is KeyState.DONE:
-            return answers.repeated(answers.from_bytes(entry.answer), call)
+            return answers.answer_for_repeat(answers.decode_answer(entry.answer), call)
         if entry.state in (KeyState.RELEASING, KeyState.HELD):
             raise CallError(ErrorKind.STORE_UNAVAILABLE, "a claim isn't released yet")
         raise CallError(ErrorKind.OUTCOME_UNKNOWN)
@@ -85,7 +85,7 @@
         answer = unpack_recorded(claim)
         if answer is not None:
             self.state.counters["repeats"] += 1
-            return answers.repeated(answer, call)
+            return answers.answer_for_repeat(answer, call)
         if claim.state is ClaimState.UNKNOWN or member is None:
             raise CallError(ErrorKind.OUTCOME_UNKNOWN)
         if claim.daemon == self.state.local.name:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
@@ -60,7 +60,7 @@
             async with asyncio.timeout(remaining + DISPATCH_GRACE):
                 answer = await dispatch(call)
                 answer.body = await answers.read_up_to(
-                    answer.body, answers.KEPT_BODY_BYTES
+                    answer.body, answers.MAX_KEPT_BODY_BYTES
                 )
         except CallError as error:
             return self.note_error(entry, error)
@@ -91,7 +91,7 @@
         else:
             entry.state = KeyState.DONE
             if answer.body.whole:
-                self.state.key_table.keep_answer(entry, answers.to_bytes(answer))
+                self.state.key_table.keep_answer(entry, answers.encode_answer(answer))
         if not entry.streams:
             await answers.close_rest(answer.body)
         return answer
