--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/budget.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/budget.py
@@ -1,28 +1,31 @@
-"""How many writes a second this daemon asks of the platform's table."""
+"""Adaptive rate limit for this daemon's writes to the platform's table."""
 
 import random
 
 from papayabay_core.errors import CallError, ErrorKind
 
-MOST_RATE = 1_000.0
-"""Writes per second; far beyond what the table takes, so no limit at first."""
-LEAST_RATE = 0.2
-"""Writes per second that always go on, to find out that it is better."""
-GROWTH = 2.0
-"""Writes per second gained in each second without a refusal."""
-CUT = 0.5
-WINDOW = 1.0
-"""Seconds; refusals within one are one sign of overload, not many."""
-LEAST_PAUSE_MS = 500
-MOST_PAUSE_MS = 10_000
+MAX_RATE = 1_000.0
+"""Writes per second; far above the table's capacity, so that there is in
+effect no limit until the table refuses a write."""
+MIN_RATE = 0.2
+"""Writes per second that are always allowed, to notice that the table has
+recovered."""
+RATE_INCREASE = 2.0
+"""Writes per second by which the rate grows in each second."""
+RATE_DECREASE_FACTOR = 0.5
+WINDOW_SECONDS = 1.0
+"""Refusals within one window lower the rate once: they are one sign of
+overload."""
+MIN_RETRY_AFTER_MS = 500
+MAX_RETRY_AFTER_MS = 10_000
 
 
 class WriteBudget:
-    """Additive increase, multiplicative decrease of the writes per second.
+    """Token bucket with additive increase and multiplicative decrease.
 
-    Outcomes are written without asking and first claims get what these
-    leave: an outcome that isn't written blocks a key, a claim that isn't
-    made costs a call that its caller can repeat.
+    Outcomes are always written and only counted; first claims get the tokens
+    that remain. An outcome that is not written leaves its key blocked, but a
+    claim that is refused costs only a call that its caller can retry.
 
     Parameters
     ----------
@@ -32,68 +35,75 @@
 
     def __init__(self, clock):
         self.clock = clock
-        self.rate = MOST_RATE
-        self.tokens = MOST_RATE * WINDOW
-        self.filled_at = self.window_at = clock()
-        self.spent = self.spent_before = 0
-        self.cut_at = None
+        self.rate = MAX_RATE
+        self.tokens = MAX_RATE * WINDOW_SECONDS
+        self.refilled_at = self.window_started_at = clock()
+        self.window_writes = self.previous_writes = 0
+        self.decreased_at = None
 
     def admit(self):
-        """Take the token of a first claim.
+        """Take a token for a first claim.
 
         Raises
         ------
         CallError
-            STORE_UNAVAILABLE, with `retry_after_ms`, when there is none.
+            STORE_UNAVAILABLE, with `retry_after_ms`, if there is no token.
         """
-        if not self.spare():
+        if not self.has_token():
             raise self.unavailable("too many keys are being claimed")
         self.spend()
 
-    def spare(self):
-        """Return whether a write that can wait may be made now."""
-        self.fill()
+    def has_token(self):
+        """Return whether a deferrable write may be made now."""
+        self.refill()
         return self.tokens >= 1.0
 
     def spend(self):
-        """Count a write; those that can't wait leave a debt of a window."""
-        self.fill()
-        self.tokens = max(self.tokens - 1.0, -self.burst())
-        self.spent += 1
-
-    def refused(self):
-        """Halve the rate, as the table refused a write."""
-        self.fill()
+        """Count a write.
+
+        Writes that cannot wait may overdraw the bucket, by at most one
+        window's worth of tokens.
+        """
+        self.refill()
+        self.tokens = max(self.tokens - 1.0, -self.capacity())
+        self.window_writes += 1
+
+    def record_refusal(self):
+        """Lower the rate because the table refused a write."""
+        self.refill()
         now = self.clock()
-        if self.cut_at is not None and now - self.cut_at < WINDOW:
+        if self.decreased_at is not None and now - self.decreased_at < WINDOW_SECONDS:
             return
-        self.cut_at = now
-        # The rate that was allowed may be far above the rate that was used;
-        # half of it would still be no limit, and the table be hammered.
-        used = max(self.spent, self.spent_before) / WINDOW
-        self.rate = max(min(self.rate, used) * CUT, LEAST_RATE)
+        self.decreased_at = now
+        # The allowed rate may be far above the rate in use. Half of it would
+        # still be no limit, and the table would stay overloaded.
+        recent_rate = max(self.window_writes, self.previous_writes) / WINDOW_SECONDS
+        self.rate = max(min(self.rate, recent_rate) * RATE_DECREASE_FACTOR, MIN_RATE)
         self.tokens = min(self.tokens, 0.0)
 
-    def fill(self):
-        """Bring tokens, rate and window up to now."""
+    def refill(self):
+        """Add the tokens and the rate gained since the last refill.
+
+        Also starts a new window when the current one has ended.
+        """
         now = self.clock()
-        passed = max(now - self.filled_at, 0.0)
-        self.filled_at = now
-        self.rate = min(self.rate + GROWTH * passed, MOST_RATE)
-        self.tokens = min(self.tokens + self.rate * passed, self.burst())
-        if now - self.window_at >= WINDOW:
-            recent = now - self.window_at < 2 * WINDOW
-            self.spent_before = self.spent if recent else 0
-            self.spent = 0
-            self.window_at = now
-
-    def burst(self):
-        """Return how many tokens can gather."""
-        return max(self.rate * WINDOW, 1.0)
+        elapsed = max(now - self.refilled_at, 0.0)
+        self.refilled_at = now
+        self.rate = min(self.rate + RATE_INCREASE * elapsed, MAX_RATE)
+        self.tokens = min(self.tokens + self.rate * elapsed, self.capacity())
+        if now - self.window_started_at >= WINDOW_SECONDS:
+            is_adjacent = now - self.window_started_at < 2 * WINDOW_SECONDS
+            self.previous_writes = self.window_writes if is_adjacent else 0
+            self.window_writes = 0
+            self.window_started_at = now
+
+    def capacity(self):
+        """Return the most tokens that the bucket holds."""
+        return max(self.rate * WINDOW_SECONDS, 1.0)
 
     def unavailable(self, detail):
-        """Return a refusal that tells when to come back, spread in time."""
+        """Return the error for a refused claim, with a jittered delay."""
         wait_ms = (1.0 - self.tokens) / self.rate * 1_000
-        wait_ms = min(max(wait_ms, LEAST_PAUSE_MS), MOST_PAUSE_MS)
-        pause = int(wait_ms * random.uniform(1.0, 2.0))
-        return CallError(ErrorKind.STORE_UNAVAILABLE, detail, pause)
+        wait_ms = min(max(wait_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
+        retry_after_ms = int(wait_ms * random.uniform(1.0, 2.0))
+        return CallError(ErrorKind.STORE_UNAVAILABLE, detail, retry_after_ms)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claims.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claims.py
@@ -272,7 +272,7 @@
             # The store refused it, most likely as one too many. Each further
             # write would only delay the ones that it still takes.
             self.counters["refused"] += 1
-            self.budget.refused()
+            self.budget.record_refusal()
             raise
         except Exception as error:
             # A client that fails in an unforeseen way, or gives no answer in
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
@@ -67,7 +67,7 @@
     def release_some(self, scopes):
         """Release held claims as far as the store has writes to spare."""
         for scope in scopes:
-            if not self.state.claims.budget.spare():
+            if not self.state.claims.budget.has_token():
                 return
             self.release(scope, self.entries[scope])
 
--- a/tests/unit/daemon/test_idempotency_budget.py
+++ b/tests/unit/daemon/test_idempotency_budget.py
@@ -1,20 +1,21 @@
-"""The budget of writes that claims are given."""
+"""Tests of the write budget that limits first claims."""
 
 import unittest
 
 from papayabay_core.calls import Answer
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.exceptions import PlatformError
-from papayabay_daemon._internal.idempotency.budget import WINDOW, WriteBudget
+from papayabay_daemon._internal.idempotency.budget import WINDOW_SECONDS, WriteBudget
 from tests.unit.daemon.idempotency_support import CLAIM, Cluster, FakeClock, GateCase
 
 
 class BudgetTests(GateCase):
-    async def test_refusing_store_is_left_alone(self):
-        """Symptom: outcomes stay unwritten while claims keep a store busy.
+    async def test_overloaded_store_gets_no_more_claims(self):
+        """Guards against claims that starve outcomes at an overloaded store.
 
-        The store answers 429; every caller's repeat tries a claim again.
-        Cause: nothing counted the refusals.
+        The store answers 429, and each retry of a caller tries another claim.
+        Unless refusals are counted, these claims keep the store busy and
+        outcomes stay unwritten.
         """
         gate = self.cluster.gates["a"]
         self.cluster.table.choose = lambda: "down"
@@ -36,10 +37,10 @@
         self.cluster.clock.time += 10.0
         self.assertEqual((await self.run_at("a", "own 1", CLAIM)).status, 201)
 
-    async def test_outcomes_are_written_before_claims(self):
+    async def test_outcomes_take_precedence_over_claims(self):
         gate = self.cluster.gates["a"]
         budget = gate.claims.budget
-        budget.refused()
+        budget.record_refusal()
         budget.tokens = 1.0
         self.assertEqual((await self.run_at("a", "own", CLAIM)).status, 201)
         await self.settled()
@@ -50,50 +51,52 @@
 
 
 class BudgetRuleTests(unittest.TestCase):
-    def test_rate_halves_once_a_window_and_grows_again(self):
+    def test_rate_halves_once_per_window_and_recovers(self):
         clock = FakeClock()
         budget = WriteBudget(clock)
         for _ in range(100):
             budget.admit()
         for _ in range(5):
-            budget.refused()
+            budget.record_refusal()
         self.assertEqual(budget.rate, 50.0)
         with self.assertRaises(CallError):
             budget.admit()
-        clock.time += 10 * WINDOW
-        budget.fill()
+        clock.time += 10 * WINDOW_SECONDS
+        budget.refill()
         self.assertGreater(budget.rate, 50.0)
-        self.assertLessEqual(budget.tokens, budget.burst())
+        self.assertLessEqual(budget.tokens, budget.capacity())
         budget.admit()
 
 
-class OverloadedStore(Cluster):
-    """A cluster whose store takes some writes per simulated second."""
+class OverloadedStoreCluster(Cluster):
+    """A cluster whose store refuses writes beyond a rate."""
 
-    def limit(self, writes):
-        tokens = {"left": writes, "at": self.clock()}
+    def limit_writes(self, writes_per_second):
+        bucket = {"tokens": writes_per_second, "updated_at": self.clock()}
         apply = self.table.apply
 
-        def limited(puts):
-            passed = self.clock() - tokens["at"]
-            tokens["left"] = min(tokens["left"] + passed * writes, writes)
-            tokens["at"] = self.clock()
-            if tokens["left"] < 1:
+        def apply_limited(puts):
+            elapsed = self.clock() - bucket["updated_at"]
+            bucket["tokens"] = min(
+                bucket["tokens"] + elapsed * writes_per_second, writes_per_second
+            )
+            bucket["updated_at"] = self.clock()
+            if bucket["tokens"] < 1:
                 raise PlatformError("429")
-            tokens["left"] -= 1
+            bucket["tokens"] -= 1
             apply(puts)
 
-        self.table.apply = limited
+        self.table.apply = apply_limited
 
 
 class LimitedStoreTests(unittest.IsolatedAsyncioTestCase):
-    async def test_claims_share_what_a_store_takes(self):
-        cluster = OverloadedStore("ab")
-        cluster.limit(20)
-        run = []
+    async def test_daemons_share_the_capacity_of_the_store(self):
+        cluster = OverloadedStoreCluster("ab")
+        cluster.limit_writes(20)
+        run_keys = []
 
         async def dispatch(call):
-            run.append(call.idempotency_key)
+            run_keys.append(call.idempotency_key)
             return Answer(200)
 
         for step in range(400):
@@ -106,9 +109,9 @@
                     self.assertIs(error.kind, ErrorKind.STORE_UNAVAILABLE)
         await cluster.close()
         states = [row.value["state"] for row in cluster.table.rows.values()]
-        self.assertEqual(len(run), len(set(run)))
-        self.assertEqual(states.count("done"), len(run))
-        self.assertGreater(len(run), 0)
+        self.assertEqual(len(run_keys), len(set(run_keys)))
+        self.assertEqual(states.count("done"), len(run_keys))
+        self.assertGreater(len(run_keys), 0)
         counters = [gate.claims.counters for gate in cluster.gates.values()]
         refused = sum(counter["refused"] for counter in counters)
         written = sum(counter["writes"] for counter in counters)
