--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
@@ -38,7 +38,7 @@
         self.state.counters["held"] += 1
         entry.claim = claim
         entry.task = None
-        self.state.key_table.hold(entry)
+        self.state.key_table.count_as_held(entry)
         entry.held_until = self.state.clock() + HELD_MEMORY
         self.entries[scope] = entry
         if self.state.closing:
@@ -47,7 +47,7 @@
     def resume(self, scope, entry):
         """Hand a held claim to the key's next attempt; return the claim."""
         del self.entries[scope]
-        self.state.key_table.resume(entry)
+        self.state.key_table.count_as_running(entry)
         self.state.counters["resumed"] += 1
         return entry.claim
 
@@ -80,7 +80,7 @@
     def release(self, scope, entry):
         """Give a held claim back; no attempt uses it from now on."""
         del self.entries[scope]
-        self.state.key_table.resume(entry)
+        self.state.key_table.count_as_running(entry)
         self.state.counters["released"] += 1
         claim, entry.claim = entry.claim, None
         self.outcome_writer.release(scope, entry, claim)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
@@ -57,7 +57,7 @@
         if entry.state is KeyState.HELD:
             self.state.key_table.remove(scope, entry)
         else:
-            self.state.key_table.retire(scope, entry, expires_at)
+            self.state.key_table.replace_by_record(scope, entry, expires_at)
         return result
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
@@ -51,7 +51,9 @@
         else:
             in_row = claim.answer is not None or entry.answer is None
             memory = CLAIM_MEMORY if in_row else LARGE_ANSWER_MEMORY
-            self.state.key_table.retire(scope, entry, self.state.clock() + memory)
+            self.state.key_table.replace_by_record(
+                scope, entry, self.state.clock() + memory
+            )
 
 
 def row_state(entry):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
@@ -33,13 +33,13 @@
         entry.state = KeyState.RUNNING
         task = entry.task = self.state.spawn(attempt)
         entry.waiters += 1
-        entry.streams = True
+        entry.first_caller_waits = True
         try:
             await asyncio.wait({task})
         except asyncio.CancelledError:
             # The key may be at its next attempt already, whose caller stays.
             if entry.task is task:
-                entry.streams = False
+                entry.first_caller_waits = False
             await close_unread(task)
             raise
         finally:
@@ -92,7 +92,7 @@
             entry.state = KeyState.DONE
             if answer.body.whole:
                 self.state.key_table.keep_answer(entry, answers.encode_answer(answer))
-        if not entry.streams:
+        if not entry.first_caller_waits:
             await answers.close_rest(answer.body)
         return answer
 
--- a/tests/unit/daemon/test_idempotency_budget.py
+++ b/tests/unit/daemon/test_idempotency_budget.py
@@ -32,7 +32,7 @@
         self.assertEqual(counters["writes"], 1)
         self.assertEqual(counters["claims_held_back"], 49)
         self.assertEqual(gate.key_table.entries, {})
-        self.assertEqual(gate.key_table.bytes, 0)
+        self.assertEqual(gate.key_table.used_bytes, 0)
         self.cluster.table.choose = lambda: None
         self.cluster.clock.time += 10.0
         self.assertEqual((await self.run_at("a", "own 1", CLAIM)).status, 201)
--- a/tests/unit/daemon/test_idempotency_held.py
+++ b/tests/unit/daemon/test_idempotency_held.py
@@ -172,7 +172,7 @@
     async def test_full_table_gives_held_claims_back(self):
         await self.refuse("a", "own")
         key_table = self.cluster.gates["a"].key_table
-        key_table.max_bytes = key_table.bytes
+        key_table.max_bytes = key_table.used_bytes
         self.assertIs(await self.kind_at("a", "another"), ErrorKind.OVERLOADED)
         await self.settled()
         self.assertEqual((await self.run_at("a", "another")).status, 201)
--- a/tests/unit/daemon/test_idempotency_interleaving.py
+++ b/tests/unit/daemon/test_idempotency_interleaving.py
@@ -105,7 +105,7 @@
             if not limited:
                 gate.claims.budget.admit = lambda: None
             if small:
-                gate.key_table.max_bytes = key_table.LIVE_BYTES
+                gate.key_table.max_bytes = key_table.RUNNING_ENTRY_BYTES
 
         calls, old, call_effects = [], [], set()
         limited, small = chance.random() < 0.3, chance.random() < 0.3
--- a/tests/unit/daemon/test_idempotency_keys.py
+++ b/tests/unit/daemon/test_idempotency_keys.py
@@ -44,7 +44,7 @@
         table.drop_expired()
         kind = await self.kind_at("a", keys[0])
         self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
-        self.assertEqual(table.bytes, 0)
+        self.assertEqual(table.used_bytes, 0)
 
 
 class HomeTests(GateCase):
@@ -94,7 +94,7 @@
             entry.state = state
             if name is scope:
                 table.keep_answer(entry, b"answer")
-            table.retire(name, entry, clock() + 60)
+            table.replace_by_record(name, entry, clock() + 60)
         self.assertEqual(table.entries, {})
         self.assertEqual(table.get(scope).answer, b"answer")
         self.assertIs(table.get(other).state, key_table.KeyState.UNKNOWN)
@@ -106,7 +106,7 @@
         clock.time += 1 + key_table.BUCKET_SECONDS
         table.drop_expired()
         self.assertIsNone(table.get(scope))
-        self.assertEqual(table.bytes, 0)
+        self.assertEqual(table.used_bytes, 0)
 
     def test_large_answer_without_room_is_not_kept(self):
         table = key_table.KeyTable(FakeClock(), key_table.LARGE_ANSWER_BYTES * 2)
