--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/caller_keys.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/caller_keys.py
@@ -6,7 +6,7 @@
 from papayabay_core.utils.identifiers import new_identifier
 from papayabay_daemon._internal.idempotency import keys
 from papayabay_daemon._internal.idempotency.claims import (
-    AmbiguousClaim,
+    AmbiguousClaimError,
     Claim,
     claim_key,
 )
@@ -133,13 +133,13 @@
             entry.digest,
             new_identifier(),
             self.state.local.name,
-            self.state.key_mint.life,
+            self.state.key_mint.instance_id,
         )
         try:
-            other = await self.state.claims.take(
+            other = await self.state.claims.acquire(
                 claim_key(*scope), claim, call.expires_at
             )
-        except AmbiguousClaim:
+        except AmbiguousClaimError:
             # The claim may stand or still arrive. It never is dispatched, so
             # `not run` is true; the entry stays until the store has told
             # that the claim is given back, or a repeat would find a claim
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -119,7 +119,7 @@
     def mint(self):
         """Return a fresh key bound to this process.
 
-        It is good for `keys.HOME_KEY_LIFE` seconds.
+        It is good for `keys.HOME_KEY_TTL_SECONDS` seconds.
         """
         return self.key_mint.mint()
 
@@ -160,7 +160,7 @@
         await self.read_body(call)
         if home is None:
             return await self.caller_keys.run(call, dispatch, may_forward=True)
-        if self.key_mint.is_ours(home):
+        if self.key_mint.is_minted_here(home):
             return await self.home.run(call, home, dispatch)
         return await self.home.forward(call, home)
 
@@ -177,7 +177,7 @@
         dispatch = self.forwarded_dispatch
         if home is None:
             return await self.caller_keys.run(call, dispatch, may_forward=False)
-        if self.key_mint.is_ours(home):
+        if self.key_mint.is_minted_here(home):
             return await self.home.run(call, home, dispatch)
         raise home_gone()
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
@@ -41,7 +41,7 @@
             return await self.repeat_handler.answer(
                 entry, call, digest, may_forward=False
             )
-        expires_at = home.issued_ms / 1000 + keys.HOME_KEY_LIFE
+        expires_at = home.issued_ms / 1000 + keys.HOME_KEY_TTL_SECONDS
         if self.state.clock() >= expires_at:
             # What is remembered of a key goes after this time. To run it
             # now could be the second time, and nothing would show it.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/keys.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/keys.py
@@ -8,13 +8,13 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.utils.identifiers import new_identifier
 
-KEY_MAX_LENGTH = 200
+MAX_KEY_LENGTH = 200
 HOME_PREFIX = "pb1:"
 HOME_KEY_FIELDS = 6
-HOME_KEY_LIFE = 900.0
+HOME_KEY_TTL_SECONDS = 900.0
 """Seconds from minting during which the home knows what became of a key."""
-MAC_DIGITS = 32
-LIFE_BYTES = 6
+MAC_HEX_DIGITS = 32
+INSTANCE_ID_BYTES = 6
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,14 +25,14 @@
     ----------
     home : str
         Name of the daemon that minted it.
-    life : str
+    instance_id : str
         Identifier of that daemon's process.
     issued_ms : int
         When, on the home's own clock; nobody else reads it.
     """
 
     home: str
-    life: str
+    instance_id: str
     issued_ms: int
 
 
@@ -56,13 +56,15 @@
     def __init__(self, secret, name, incarnation, clock):
         self.secret = secret.encode()
         self.name = name
-        self.life = f"{incarnation:x}-{secrets.token_hex(LIFE_BYTES)}"
+        self.instance_id = f"{incarnation:x}-{secrets.token_hex(INSTANCE_ID_BYTES)}"
         self.clock = clock
 
     def mint(self):
-        """Return a fresh key, good for `HOME_KEY_LIFE` seconds."""
+        """Return a fresh key, good for `HOME_KEY_TTL_SECONDS` seconds."""
         issued = f"{int(self.clock() * 1000):x}"
-        text = f"{HOME_PREFIX}{self.name}:{self.life}:{issued}:{new_identifier()}"
+        text = (
+            f"{HOME_PREFIX}{self.name}:{self.instance_id}:{issued}:{new_identifier()}"
+        )
         return f"{text}:{self.mac(text)}"
 
     def parse(self, key):
@@ -82,24 +84,24 @@
             raise CallError(ErrorKind.BAD_REQUEST, "the key was not minted here")
         if len(fields) != HOME_KEY_FIELDS - 1:
             raise CallError(ErrorKind.BAD_REQUEST, "the key is malformed")
-        _, home, life, issued, _ = fields
-        return HomeKey(home, life, int(issued, 16))
+        _, home, instance_id, issued, _ = fields
+        return HomeKey(home, instance_id, int(issued, 16))
 
     def mac(self, text):
         """Return the digits that prove a key's text."""
-        return hmac.digest(self.secret, text.encode(), "sha256").hex()[:MAC_DIGITS]
+        return hmac.digest(self.secret, text.encode(), "sha256").hex()[:MAC_HEX_DIGITS]
 
-    def is_ours(self, key):
+    def is_minted_here(self, key):
         """Return whether this very process minted the key."""
-        return key.home == self.name and key.life == self.life
+        return key.home == self.name and key.instance_id == self.instance_id
 
 
 def check_key(key):
     """Raise `CallError` unless the key is present, short and printable."""
     if not key:
         raise CallError(ErrorKind.KEY_MISSING)
-    if len(key) > KEY_MAX_LENGTH or not (key.isascii() and key.isprintable()):
-        detail = f"a key is at most {KEY_MAX_LENGTH} printable ASCII characters"
+    if len(key) > MAX_KEY_LENGTH or not (key.isascii() and key.isprintable()):
+        detail = f"a key is at most {MAX_KEY_LENGTH} printable ASCII characters"
         raise CallError(ErrorKind.BAD_REQUEST, detail)
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
@@ -9,7 +9,7 @@
 
 CLAIM_MEMORY = 60.0
 """Seconds that a claimed key is remembered once its outcome is stored."""
-LARGE_ANSWER_MEMORY = keys.HOME_KEY_LIFE
+LARGE_ANSWER_MEMORY = keys.HOME_KEY_TTL_SECONDS
 """The same for an answer too large for the row; only memory holds it."""
 
 
@@ -44,7 +44,7 @@
 
     async def settle(self, scope, entry, claim):
         """Write a claim's outcome, then let its entry go."""
-        await self.state.claims.settle(claim_key(*scope), claim)
+        await self.state.claims.write_outcome(claim_key(*scope), claim)
         if claim.state is ClaimState.OPEN:
             self.state.key_table.remove(scope, entry)
             entry.released.set()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
@@ -102,7 +102,7 @@
         so a row that still shows it claimed was read stale.
         """
         entry = self.state.key_table.get((call.service, call.idempotency_key))
-        ours = claim.life == self.state.key_mint.life
+        ours = claim.instance_id == self.state.key_mint.instance_id
         if entry is not None and ours:
             return await self.answer(entry, call, digest, may_forward=False)
         if ours and claim.state is ClaimState.CLAIMED:
--- a/tests/unit/daemon/test_idempotency_stale.py
+++ b/tests/unit/daemon/test_idempotency_stale.py
@@ -24,7 +24,7 @@
         with self.assertRaises(CallError) as caught:
             await gate.repeat_handler.answer_from_memory(claim, call, digest)
         self.assertIs(caught.exception.kind, ErrorKind.OUTCOME_UNKNOWN)
-        claim.life = gate.key_mint.life
+        claim.instance_id = gate.key_mint.instance_id
         answer = await gate.repeat_handler.answer_from_memory(claim, call, digest)
         self.assertEqual(answer.body.first, b"done 1")
 
