--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -119,7 +119,7 @@
     def mint(self):
         """Return a fresh key bound to this process.
 
-        It is good for `keys.HOME_KEY_TTL_SECONDS` seconds.
+        It is valid for `keys.HOME_KEY_TTL_SECONDS`.
         """
         return self.key_mint.mint()
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/keys.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: the callers' own and those bound to a daemon."""
+"""Idempotency keys: chosen by callers, or issued by and bound to a daemon."""
 
 import hashlib
 import hmac
@@ -12,23 +12,24 @@
 HOME_PREFIX = "pb1:"
 HOME_KEY_FIELDS = 6
 HOME_KEY_TTL_SECONDS = 900.0
-"""Seconds from minting during which the home knows what became of a key."""
+"""Time after issue during which the home daemon knows a key's outcome."""
 MAC_HEX_DIGITS = 32
 INSTANCE_ID_BYTES = 6
 
 
 @dataclass(frozen=True, slots=True)
 class HomeKey:
-    """A key that only one process may dispatch.
+    """A home-bound key: only the process that issued it may run its call.
 
     Attributes
     ----------
     home : str
-        Name of the daemon that minted it.
+        Name of the daemon that issued it.
     instance_id : str
         Identifier of that daemon's process.
     issued_ms : int
-        When, on the home's own clock; nobody else reads it.
+        Time of issue in milliseconds on the home's clock; other daemons must
+        not compare it with theirs.
     """
 
     home: str
@@ -37,20 +38,26 @@
 
 
 class KeyMint:
-    """Mints and checks home-bound keys.
+    """Issues and verifies home-bound keys.
 
     Parameters
     ----------
     secret : str
-        The cluster's secret.
+        The cluster's secret, which authenticates the keys.
     name : str
-        This daemon.
+        Name of this daemon.
     incarnation : int
-        Its incarnation at the start. Refuting a suspicion raises the
-        incarnation of a process that still remembers its keys, so `life`
-        is fixed here, with a random part in case the number comes twice.
+        Incarnation of this daemon at its start.
     clock : callable
         Returns seconds.
+
+    Attributes
+    ----------
+    instance_id : str
+        Identifies this process. It does not follow the current incarnation:
+        a process that refutes a suspicion raises that number, but still
+        remembers its keys. The random part tells processes apart that
+        started with the same incarnation.
     """
 
     def __init__(self, secret, name, incarnation, clock):
@@ -60,7 +67,7 @@
         self.clock = clock
 
     def mint(self):
-        """Return a fresh key, good for `HOME_KEY_TTL_SECONDS` seconds."""
+        """Return a new key, valid for `HOME_KEY_TTL_SECONDS`."""
         issued = f"{int(self.clock() * 1000):x}"
         text = (
             f"{HOME_PREFIX}{self.name}:{self.instance_id}:{issued}:{new_identifier()}"
@@ -68,13 +75,13 @@
         return f"{text}:{self.mac(text)}"
 
     def parse(self, key):
-        """Return the `HomeKey` of a key, or None for a caller's own.
+        """Return the `HomeKey` of a key, or None for a caller-chosen key.
 
         Raises
         ------
         CallError
-            BAD_REQUEST when it has the prefix of a home-bound key but was
-            not minted by this cluster.
+            BAD_REQUEST if the key has the prefix of a home-bound key but was
+            not issued by a daemon of this cluster.
         """
         if not key.startswith(HOME_PREFIX):
             return None
@@ -88,11 +95,11 @@
         return HomeKey(home, instance_id, int(issued, 16))
 
     def mac(self, text):
-        """Return the digits that prove a key's text."""
+        """Return the message authentication code of a key's text."""
         return hmac.digest(self.secret, text.encode(), "sha256").hex()[:MAC_HEX_DIGITS]
 
     def is_minted_here(self, key):
-        """Return whether this very process minted the key."""
+        """Return whether this process issued the key."""
         return key.home == self.name and key.instance_id == self.instance_id
 
 
@@ -106,7 +113,10 @@
 
 
 def call_digest(call):
-    """Return the hexadecimal SHA-256 over what makes two calls the same."""
+    """Return the hexadecimal SHA-256 of what identifies a call.
+
+    Calls with the same key but another digest are in conflict.
+    """
     digest = hashlib.sha256()
     for text in (call.service, call.method, call.path):
         part = text.encode("utf-8", "surrogateescape")
