--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/caller_keys.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/caller_keys.py
@@ -28,7 +28,7 @@
     owners : ClaimOwners
     held : HeldClaims
     outcome_writer : OutcomeWriter
-    release_wait : float
+    release_timeout : float
         Most seconds that a call waits for its key's release.
 
     Attributes
@@ -38,7 +38,14 @@
     """
 
     def __init__(
-        self, state, runner, repeat_handler, owners, held, outcome_writer, release_wait
+        self,
+        state,
+        runner,
+        repeat_handler,
+        owners,
+        held,
+        outcome_writer,
+        release_timeout,
     ):
         self.state = state
         self.runner = runner
@@ -46,41 +53,41 @@
         self.owners = owners
         self.held = held
         self.outcome_writer = outcome_writer
-        self.release_wait = release_wait
+        self.release_timeout = release_timeout
         self.precheck = accept_all
 
     async def run(self, call, dispatch, may_forward):
         """Run a call with its caller's own key."""
         scope = (call.service, call.idempotency_key)
         digest = keys.call_digest(call)
-        self.held.release_due()
+        self.held.release_expired()
         entry = self.state.key_table.get(scope)
         if entry is not None and scope in self.held.entries:
             if entry.digest == digest:
-                return await self.run_held(scope, entry, call, dispatch)
+                return await self.run_with_held_claim(scope, entry, call, dispatch)
             # A key that never ran is free for another request. The row still
             # tells of the first one, so it is opened before.
             self.held.release(scope, entry)
         if entry is not None and entry.state is KeyState.RELEASING:
-            await self.wait_released(entry, call)
+            await self.wait_for_release(entry, call)
             entry = self.state.key_table.get(scope)
         if entry is not None:
             return await self.repeat_handler.answer(entry, call, digest, may_forward)
         holder = self.owners.get(scope) if may_forward else None
         if holder is not None:
             return await self.owners.forward(holder, call)
-        return await self.run_new(scope, call, digest, dispatch, may_forward)
+        return await self.claim_and_run(scope, call, digest, dispatch, may_forward)
 
-    async def run_held(self, scope, entry, call, dispatch):
+    async def run_with_held_claim(self, scope, entry, call, dispatch):
         """Run a call whose key's claim is held from an earlier attempt."""
         self.state.check_open()
         claim = self.held.resume(scope, entry)
-        attempt = self.attempt(scope, entry, claim, call, dispatch)
+        attempt = self.run_attempt(scope, entry, claim, call, dispatch)
         return await self.runner.start(entry, attempt)
 
-    async def run_new(self, scope, call, digest, dispatch, may_forward):
+    async def claim_and_run(self, scope, call, digest, dispatch, may_forward):
         """Run a call whose key nobody is known to have claimed."""
-        entry = self.add_claiming(scope, call, digest)
+        entry = self.add_entry(scope, call, digest)
         attempt = self.claim_and_attempt(scope, entry, call, dispatch)
         result = await self.runner.start(entry, attempt)
         if not isinstance(result, Claim):
@@ -89,7 +96,7 @@
             result, call, digest, may_forward
         )
 
-    def add_claiming(self, scope, call, digest):
+    def add_entry(self, scope, call, digest):
         """Return the entry of a key that is about to be claimed.
 
         Raises
@@ -103,7 +110,7 @@
         try:
             entry = self.state.key_table.add(scope, digest)
         except CallError:
-            self.held.release_first()
+            self.held.release_oldest()
             raise
         try:
             self.state.claims.admit()
@@ -112,9 +119,9 @@
             raise
         return entry
 
-    async def wait_released(self, entry, call):
+    async def wait_for_release(self, entry, call):
         """Wait, not for long, until a claim that was not run is released."""
-        remaining = min(self.release_wait, call.expires_at - self.state.clock())
+        remaining = min(self.release_timeout, call.expires_at - self.state.clock())
         try:
             async with asyncio.timeout(max(remaining, 0.0)):
                 await entry.released.wait()
@@ -155,13 +162,13 @@
         if other is not None:
             self.state.key_table.remove(scope, entry)
             return other
-        return await self.attempt(scope, entry, claim, call, dispatch)
+        return await self.run_attempt(scope, entry, claim, call, dispatch)
 
-    async def attempt(self, scope, entry, claim, call, dispatch):
+    async def run_attempt(self, scope, entry, claim, call, dispatch):
         """Run a call under its standing claim; hold it when not run."""
         result = await self.runner.dispatch(entry, call, dispatch)
         if entry.state is KeyState.HELD:
             self.held.hold(scope, entry, claim)
         else:
-            self.outcome_writer.settle_later(scope, entry, claim)
+            self.outcome_writer.write_in_background(scope, entry, claim)
         return result
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -1,4 +1,4 @@
-"""The gate that non-idempotent calls pass: one attempt per key at a time."""
+"""At-most-once gate for calls with an idempotency key."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from papayabay_daemon._internal.idempotency.caller_keys import CallerKeys
 from papayabay_daemon._internal.idempotency.claims import ClaimStore
 from papayabay_daemon._internal.idempotency.held import HeldClaims
-from papayabay_daemon._internal.idempotency.home import HomeKeys, home_gone
+from papayabay_daemon._internal.idempotency.home import HomeKeys, home_unavailable
 from papayabay_daemon._internal.idempotency.key_table import KeyTable
 from papayabay_daemon._internal.idempotency.outcomes import OutcomeWriter
 from papayabay_daemon._internal.idempotency.owners import ClaimOwners
@@ -17,48 +17,50 @@
 from papayabay_daemon._internal.idempotency.state import GateState
 
 MAX_KEYED_BODY_BYTES = 1024 * 1024
-"""Largest request body of a keyed call; it is digested whole."""
-CLOSE_TIMEOUT = 5.0
+"""Largest request body of a call with a key, in bytes. The body is buffered,
+as the digest covers all of it."""
+CLOSE_TIMEOUT_SECONDS = 5.0
 
 
-async def no_dispatch(call):
-    """Refuse a forwarded call before `set_forwarded_dispatch` was called."""
+async def refuse_forwarded(call):
+    """Refuse forwarded calls until `set_forwarded_dispatch` is called."""
     raise CallError(ErrorKind.LEAVING, "this daemon takes no forwarded calls")
 
 
 class IdempotencyGate:
-    """Runs keyed calls at most once.
+    """Runs each call with an idempotency key at most once.
 
-    This is the border: it checks keys and bodies, and hands each call to the
-    part that knows its kind of key.
+    It checks keys and bodies and passes each call to the class that handles
+    its kind of key: `CallerKeys` for keys that callers choose, `HomeKeys` for
+    keys that a daemon has issued.
 
     Parameters
     ----------
     settings : DaemonSettings
     local : Member
-        This daemon, as it started.
+        This daemon, as it was at its start.
     table : TableService
     links : Links
     members : Members
     clock : callable
-        Seconds on a clock that counts suspended time.
+        Returns seconds; has to count the time in which the VM is suspended.
     sleep : callable
-        Coroutine function; tests replace it.
+        Coroutine function that waits some seconds.
 
     Attributes
     ----------
     counters : Counter
-        Attempts by outcome, joined and recorded repeats, forwards, claims
+        Counts of attempts by outcome, of repeats that joined a running
+        attempt or got a recorded answer, of forwarded calls, and of claims
         held, resumed and released.
     claims : ClaimStore
         Its `counters` hold ``writes``, ``outcome_writes``, ``reads``,
         ``ambiguous``, ``refused`` and ``claims_held_back``.
     key_table : KeyTable
-        What is remembered of keys.
     held : dict
-        Entries of claims that were not run, the longest held first.
+        Entries whose claims are held; see `HeldClaims.entries`.
     owners : dict
-        Names of the daemons that claimed keys which were repeated here.
+        Daemons that own claims; see `ClaimOwners.names_by_key`.
     """
 
     def __init__(
@@ -77,11 +79,11 @@
         )
         self.counters = self.state.counters
         self.tasks = self.state.tasks
-        self.forwarded_dispatch = no_dispatch
-        self.assemble(timeout)
+        self.forwarded_dispatch = refuse_forwarded
+        self.build_components(timeout)
 
-    def assemble(self, timeout):
-        """Make the parts, each with those that it uses."""
+    def build_components(self, timeout):
+        """Create the gate's components and connect them."""
         state = self.state
         runner = AttemptRunner(state)
         outcome_writer = OutcomeWriter(state)
@@ -102,22 +104,30 @@
         self.owners = owners.names_by_key
 
     def set_forwarded_dispatch(self, dispatch):
-        """Set what sends on calls that other daemons forward to this one."""
+        """Set the function that dispatches calls forwarded by other daemons.
+
+        Parameters
+        ----------
+        dispatch : callable
+            Coroutine function that takes the call and returns its `Answer`.
+        """
         self.forwarded_dispatch = dispatch
 
     def set_claim_precheck(self, precheck):
-        """Set what is asked before a key is claimed for the first time.
+        """Set the check that runs before a key is claimed for the first time.
+
+        It saves the write for a call that would be refused anyway.
 
         Parameters
         ----------
         precheck : callable
-            Takes the call; raises a ``not run`` `CallError` when it would be
-            refused at once, so that no write is spent on it.
+            Takes the call and raises a `CallError` with the effect
+            ``not run`` if the call would be refused at once.
         """
         self.caller_keys.precheck = precheck
 
     def mint(self):
-        """Return a fresh key bound to this process.
+        """Return a new key bound to this process.
 
         It is valid for `keys.HOME_KEY_TTL_SECONDS`.
         """
@@ -128,16 +138,17 @@
         return self.key_mint.parse(key)
 
     async def run(self, call, rule, dispatch):
-        """Run a keyed call, or answer it with what became of its key.
+        """Run a call with a key, or answer it with the key's known outcome.
 
         Parameters
         ----------
         call : Call
         rule : CallRule
-            Its `at_most_once` says which kinds of key are taken.
+            Its `at_most_once` says which kinds of key are accepted.
         dispatch : callable
-            Coroutine function that sends the call on and returns its
-            `Answer`. It may try several upstreams, after ``not run`` only.
+            Coroutine function that sends the call to an upstream and returns
+            its `Answer`. It may try another upstream only after an answer
+            with the effect ``not run``.
 
         Returns
         -------
@@ -146,8 +157,8 @@
         Raises
         ------
         CallError
-            ``not run`` is said of this call alone: an earlier call with the
-            same key may have been run.
+            The effect ``not run`` is that of this call alone: an earlier call
+            with the same key may have been run.
         """
         keys.check_key(call.idempotency_key)
         home = self.parse(call.idempotency_key)
@@ -167,8 +178,8 @@
     async def handle_forwarded(self, call, peer):
         """Run or answer a call that a peer forwarded to this daemon.
 
-        It is never forwarded again, whatever the two daemons believe of the
-        key, so calls can't go round in circles.
+        It is never forwarded again, even if this daemon believes that the
+        key belongs to another one, so that there can be no forwarding loop.
         """
         self.counters["forwarded_in"] += 1
         keys.check_key(call.idempotency_key)
@@ -179,32 +190,31 @@
             return await self.caller_keys.run(call, dispatch, may_forward=False)
         if self.key_mint.is_minted_here(home):
             return await self.home.run(call, home, dispatch)
-        raise home_gone()
+        raise home_unavailable()
 
-    async def close(self, timeout=CLOSE_TIMEOUT):
-        """Wait for running attempts and unwritten outcomes, then give up.
+    async def close(self, timeout=CLOSE_TIMEOUT_SECONDS):
+        """Wait for running attempts and pending writes, then cancel them.
 
-        Claims that are held are released, the newest and at most
-        `held.CLOSE_BATCH` of them.
+        The newest held claims, at most `held.CLOSE_BATCH`, are released.
 
         Parameters
         ----------
         timeout : float
-            Seconds. A claim whose outcome or release isn't written by then
-            reads as ``unknown`` to everybody.
+            Seconds. A claim whose outcome or release is not written by then
+            has an unknown outcome for all daemons.
         """
         self.state.closing = True
         self.held_claims.release_newest()
-        ends_at = now() + timeout
-        while self.tasks and now() < ends_at:
-            await asyncio.wait(self.tasks, timeout=ends_at - now())
-        left = list(self.tasks)
-        for task in left:
+        deadline = now() + timeout
+        while self.tasks and now() < deadline:
+            await asyncio.wait(self.tasks, timeout=deadline - now())
+        pending = list(self.tasks)
+        for task in pending:
             task.cancel()
-        await asyncio.gather(*left, return_exceptions=True)
+        await asyncio.gather(*pending, return_exceptions=True)
 
     async def read_body(self, call):
-        """Bring the whole body to hand, within the call's life."""
+        """Buffer the whole body within the call's remaining lifetime."""
         if call.body.whole:
             return
         try:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
@@ -2,7 +2,7 @@
 
 from itertools import islice
 
-HELD_MEMORY = 60.0
+HELD_CLAIM_SECONDS = 60.0
 """Seconds after a `not run` end for which its claim waits for a repeat."""
 RELEASE_BATCH = 8
 """Most held claims that one call, or a full table, lets go."""
@@ -39,7 +39,7 @@
         entry.claim = claim
         entry.task = None
         self.state.key_table.count_as_held(entry)
-        entry.held_until = self.state.clock() + HELD_MEMORY
+        entry.held_until = self.state.clock() + HELD_CLAIM_SECONDS
         self.entries[scope] = entry
         if self.state.closing:
             self.release(scope, entry)
@@ -51,20 +51,20 @@
         self.state.counters["resumed"] += 1
         return entry.claim
 
-    def release_due(self):
+    def release_expired(self):
         """Release some claims that no repeat has asked for in time."""
         if self.entries:
-            first = list(islice(self.entries.items(), RELEASE_BATCH))
-            now_held = self.state.clock()
-            self.release_some(
-                [scope for scope, entry in first if entry.held_until <= now_held]
+            oldest = list(islice(self.entries.items(), RELEASE_BATCH))
+            now = self.state.clock()
+            self.release_within_budget(
+                [scope for scope, entry in oldest if entry.held_until <= now]
             )
 
-    def release_first(self):
+    def release_oldest(self):
         """Release some claims, the longest held, to make room."""
-        self.release_some(list(self.entries)[:RELEASE_BATCH])
+        self.release_within_budget(list(self.entries)[:RELEASE_BATCH])
 
-    def release_some(self, scopes):
+    def release_within_budget(self, scopes):
         """Release held claims as far as the store has writes to spare."""
         for scope in scopes:
             if not self.state.claims.budget.has_token():
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
@@ -28,7 +28,7 @@
         """
         member = self.state.live_member(home.home)
         if member is None or home.home == self.state.local.name:
-            raise home_gone()
+            raise home_unavailable()
         self.state.counters["forwarded_out"] += 1
         return await self.state.links.forward(member, call)
 
@@ -48,10 +48,10 @@
             raise CallError(ErrorKind.OUTCOME_UNKNOWN, "the key is too old")
         self.state.check_open()
         entry = self.state.key_table.add(scope, digest)
-        attempt = self.attempt(scope, entry, call, dispatch, expires_at)
+        attempt = self.run_attempt(scope, entry, call, dispatch, expires_at)
         return await self.runner.start(entry, attempt)
 
-    async def attempt(self, scope, entry, call, dispatch, expires_at):
+    async def run_attempt(self, scope, entry, call, dispatch, expires_at):
         """Make the attempt of a home-bound key."""
         result = await self.runner.dispatch(entry, call, dispatch)
         if entry.state is KeyState.HELD:
@@ -61,7 +61,7 @@
         return result
 
 
-def home_gone():
+def home_unavailable():
     """Return the error for a key whose home can't tell any more."""
     detail = "the daemon that the key is bound to is gone"
     return CallError(ErrorKind.OUTCOME_UNKNOWN, detail)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
@@ -7,9 +7,9 @@
 from papayabay_daemon._internal.idempotency.claims import ClaimState, claim_key
 from papayabay_daemon._internal.idempotency.key_table import KeyState
 
-CLAIM_MEMORY = 60.0
+RECORD_TTL_SECONDS = 60.0
 """Seconds that a claimed key is remembered once its outcome is stored."""
-LARGE_ANSWER_MEMORY = keys.HOME_KEY_TTL_SECONDS
+LARGE_ANSWER_TTL_SECONDS = keys.HOME_KEY_TTL_SECONDS
 """The same for an answer too large for the row; only memory holds it."""
 
 
@@ -28,9 +28,9 @@
         """Give a claim back that no attempt uses from now on."""
         entry.state = KeyState.RELEASING
         entry.released = asyncio.Event()
-        self.settle_later(scope, entry, claim)
+        self.write_in_background(scope, entry, claim)
 
-    def settle_later(self, scope, entry, claim):
+    def write_in_background(self, scope, entry, claim):
         """Write a claim's outcome in the background.
 
         The caller's answer doesn't wait for the store; the entry answers
@@ -40,9 +40,9 @@
         claim = replace(claim, state=row_state(entry))
         if entry.answer is not None:
             claim.answer = answers.pack_answer(answers.decode_answer(entry.answer))
-        self.state.spawn(self.settle(scope, entry, claim))
+        self.state.spawn(self.write(scope, entry, claim))
 
-    async def settle(self, scope, entry, claim):
+    async def write(self, scope, entry, claim):
         """Write a claim's outcome, then let its entry go."""
         await self.state.claims.write_outcome(claim_key(*scope), claim)
         if claim.state is ClaimState.OPEN:
@@ -50,7 +50,7 @@
             entry.released.set()
         else:
             in_row = claim.answer is not None or entry.answer is None
-            memory = CLAIM_MEMORY if in_row else LARGE_ANSWER_MEMORY
+            memory = RECORD_TTL_SECONDS if in_row else LARGE_ANSWER_TTL_SECONDS
             self.state.key_table.replace_by_record(
                 scope, entry, self.state.clock() + memory
             )
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
@@ -82,7 +82,7 @@
                 return await self.owners.forward(member, call)
             self.state.counters["conflicts"] += 1
             raise CallError(ErrorKind.KEY_CONFLICT)
-        answer = unpack_recorded(claim)
+        answer = answer_of_claim(claim)
         if answer is not None:
             self.state.counters["repeats"] += 1
             return answers.answer_for_repeat(answer, call)
@@ -110,7 +110,7 @@
         raise CallError(ErrorKind.OUTCOME_UNKNOWN)
 
 
-def unpack_recorded(claim):
+def answer_of_claim(claim):
     """Return the first answer that a claim's row holds, or None."""
     if claim.state is not ClaimState.DONE or claim.answer is None:
         return None
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
@@ -7,7 +7,7 @@
 from papayabay_daemon._internal.idempotency import answers
 from papayabay_daemon._internal.idempotency.key_table import KeyState
 
-DISPATCH_GRACE = 0.5
+DISPATCH_GRACE_SECONDS = 0.5
 """Seconds after a call's life for its dispatch to say how it ended."""
 
 
@@ -40,7 +40,7 @@
             # The key may be at its next attempt already, whose caller stays.
             if entry.task is task:
                 entry.first_caller_waits = False
-            await close_unread(task)
+            await close_unread_answer(task)
             raise
         finally:
             entry.waiters -= 1
@@ -57,31 +57,31 @@
             self.state.counters["unsent"] += 1
             return CallError(ErrorKind.EXPIRED_UNSENT)
         try:
-            async with asyncio.timeout(remaining + DISPATCH_GRACE):
+            async with asyncio.timeout(remaining + DISPATCH_GRACE_SECONDS):
                 answer = await dispatch(call)
                 answer.body = await answers.read_up_to(
                     answer.body, answers.MAX_KEPT_BODY_BYTES
                 )
         except CallError as error:
-            return self.note_error(entry, error)
+            return self.record_error(entry, error)
         except TimeoutError:
-            return self.note_error(entry, CallError(ErrorKind.EXPIRED))
+            return self.record_error(entry, CallError(ErrorKind.EXPIRED))
         except asyncio.CancelledError:
             entry.state = KeyState.UNKNOWN
             raise
         except Exception as error:
             failure = CallError(ErrorKind.INTERNAL, type(error).__name__)
-            return self.note_error(entry, failure)
-        return await self.note_answer(entry, answer)
+            return self.record_error(entry, failure)
+        return await self.record_answer(entry, answer)
 
-    def note_error(self, entry, error):
+    def record_error(self, entry, error):
         """Note an attempt's error in its entry and return the error."""
         not_run = error.answer.effect is Effect.NOT_RUN
         entry.state = KeyState.HELD if not_run else KeyState.UNKNOWN
         self.state.counters[error.answer.effect.value] += 1
         return error
 
-    async def note_answer(self, entry, answer):
+    async def record_answer(self, entry, answer):
         """Note an attempt's answer in its entry and return the answer."""
         self.state.counters[answer.effect.value] += 1
         if answer.effect is Effect.NOT_RUN:
@@ -114,7 +114,7 @@
     return result
 
 
-async def close_unread(task):
+async def close_unread_answer(task):
     """Close the streamed answer of an attempt whose first caller left."""
     ended = task.done() and not task.cancelled() and task.exception() is None
     if ended and isinstance(task.result(), Answer):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/state.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/state.py
@@ -1,4 +1,4 @@
-"""What the parts of the gate share."""
+"""State shared by the components of the idempotency gate."""
 
 import asyncio
 from collections import Counter
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True, eq=False)
 class GateState:
-    """The services, tables and counters of one gate.
+    """Services, tables and counters of one gate.
 
     Attributes
     ----------
     local : Member
-        This daemon, as it started.
+        This daemon, as it was at its start.
     links : Links
     members : Members
     clock : callable
@@ -29,9 +29,9 @@
     key_table : KeyTable
     counters : Counter
     tasks : set of asyncio.Task
-        Attempts and writes that go on.
+        Running attempts and pending writes.
     closing : bool
-        Whether new attempts are refused.
+        Whether the gate is closing and refuses new attempts.
     """
 
     local: Member
@@ -46,18 +46,18 @@
     closing: bool = False
 
     def check_open(self):
-        """Refuse new attempts once the gate closes."""
+        """Raise `CallError` with LEAVING if the gate is closing."""
         if self.closing:
             raise CallError(ErrorKind.LEAVING)
 
     def live_member(self, name):
-        """Return the member of a name, or None when it is gone."""
+        """Return the member with a name, or None if unknown or dead."""
         member = self.members.get(name)
         gone = member is None or member.state is MemberState.DEAD
         return None if gone else member
 
     def spawn(self, coroutine):
-        """Return a task that is held until it ends."""
+        """Start a task and keep a reference to it until it ends."""
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/tests/unit/daemon/test_idempotency_held.py
+++ b/tests/unit/daemon/test_idempotency_held.py
@@ -7,7 +7,7 @@
 from papayabay_core.errors import ERROR_ANSWERS, CallError, Effect, ErrorKind
 from papayabay_daemon._internal.idempotency import held, owners
 from papayabay_daemon._internal.idempotency.claims import claim_key
-from papayabay_daemon._internal.idempotency.held import HELD_MEMORY
+from papayabay_daemon._internal.idempotency.held import HELD_CLAIM_SECONDS
 from papayabay_daemon._internal.interfaces import MemberState
 from tests.unit.daemon.idempotency_support import CLAIM, WAIT, GateCase
 
@@ -163,7 +163,7 @@
 
     async def test_forgotten_claim_is_given_back(self):
         await self.refuse("a", "own")
-        self.cluster.clock.time += HELD_MEMORY
+        self.cluster.clock.time += HELD_CLAIM_SECONDS
         await self.run_at("a", "another")
         await self.settled()
         self.assertEqual(self.row("own").value["state"], "open")
--- a/tests/unit/daemon/test_idempotency_interleaving.py
+++ b/tests/unit/daemon/test_idempotency_interleaving.py
@@ -14,7 +14,7 @@
     ConditionFailed,
 )
 from papayabay_daemon._internal.idempotency import key_table
-from papayabay_daemon._internal.idempotency.held import HELD_MEMORY
+from papayabay_daemon._internal.idempotency.held import HELD_CLAIM_SECONDS
 from papayabay_daemon._internal.interfaces import MemberState
 from tests.unit.daemon.idempotency_support import EITHER, WAIT, Cluster
 
@@ -91,7 +91,7 @@
                     cluster.start(name, cluster.members[name].incarnation + 1)
                     prepare(cluster.gates[name])
                 elif act == "forget":
-                    cluster.clock.time += HELD_MEMORY
+                    cluster.clock.time += HELD_CLAIM_SECONDS
                 elif act in ("dead", "alive"):
                     cluster.members[name].state = MemberState[act.upper()]
                 elif act == "pause":
--- a/tests/unit/daemon/test_idempotency_stale.py
+++ b/tests/unit/daemon/test_idempotency_stale.py
@@ -4,7 +4,7 @@
 from papayabay_core.exceptions import ConditionFailed
 from papayabay_daemon._internal.idempotency import keys
 from papayabay_daemon._internal.idempotency.claims import Claim, claim_key
-from papayabay_daemon._internal.idempotency.held import HELD_MEMORY
+from papayabay_daemon._internal.idempotency.held import HELD_CLAIM_SECONDS
 from papayabay_daemon._internal.interfaces import MemberState
 from tests.unit.daemon.idempotency_support import WAIT, GateCase
 
@@ -42,7 +42,7 @@
                 self.target.endings = [ErrorKind.OVERLOADED]
                 await self.kind_at("a", name)
                 old = [table.rows[claim_key("orders", name)]]
-                self.cluster.clock.time += HELD_MEMORY
+                self.cluster.clock.time += HELD_CLAIM_SECONDS
                 await self.run_at("a", f"sweep {name}")
                 await self.settled()
                 old.append(table.rows[claim_key("orders", name)])
