--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/caller_keys.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/caller_keys.py
@@ -1,4 +1,4 @@
-"""Calls with their callers' own keys, claimed in the platform's table."""
+"""Calls with caller-chosen keys, which are claimed in the platform's table."""
 
 import asyncio
 
@@ -14,11 +14,11 @@
 
 
 def accept_all(call):
-    """Let every call try for its claim."""
+    """Accept every call; the precheck until another one is set."""
 
 
 class CallerKeys:
-    """Runs calls under claims, one attempt per key in the whole cluster.
+    """Runs calls under claims: one attempt per key in the whole cluster.
 
     Parameters
     ----------
@@ -29,12 +29,12 @@
     held : HeldClaims
     outcome_writer : OutcomeWriter
     release_timeout : float
-        Most seconds that a call waits for its key's release.
+        Longest time in seconds that a call waits until its key is released.
 
     Attributes
     ----------
     precheck : callable
-        Asked before a first claim; see `IdempotencyGate.set_claim_precheck`.
+        Check before a first claim; see `IdempotencyGate.set_claim_precheck`.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self.precheck = accept_all
 
     async def run(self, call, dispatch, may_forward):
-        """Run a call with its caller's own key."""
+        """Run a call with a caller-chosen key, or answer it as a repeat."""
         scope = (call.service, call.idempotency_key)
         digest = keys.call_digest(call)
         self.held.release_expired()
@@ -65,8 +65,9 @@
         if entry is not None and scope in self.held.entries:
             if entry.digest == digest:
                 return await self.run_with_held_claim(scope, entry, call, dispatch)
-            # A key that never ran is free for another request. The row still
-            # tells of the first one, so it is opened before.
+            # A key whose call never ran may be used for another request. The
+            # row still has the digest of the first one, so the claim is
+            # released before.
             self.held.release(scope, entry)
         if entry is not None and entry.state is KeyState.RELEASING:
             await self.wait_for_release(entry, call)
@@ -79,14 +80,14 @@
         return await self.claim_and_run(scope, call, digest, dispatch, may_forward)
 
     async def run_with_held_claim(self, scope, entry, call, dispatch):
-        """Run a call whose key's claim is held from an earlier attempt."""
+        """Run a call with the claim that an earlier attempt left held."""
         self.state.check_open()
         claim = self.held.resume(scope, entry)
         attempt = self.run_attempt(scope, entry, claim, call, dispatch)
         return await self.runner.start(entry, attempt)
 
     async def claim_and_run(self, scope, call, digest, dispatch, may_forward):
-        """Run a call whose key nobody is known to have claimed."""
+        """Claim a key that is not known here, and run its call."""
         entry = self.add_entry(scope, call, digest)
         attempt = self.claim_and_attempt(scope, entry, call, dispatch)
         result = await self.runner.start(entry, attempt)
@@ -97,13 +98,14 @@
         )
 
     def add_entry(self, scope, call, digest):
-        """Return the entry of a key that is about to be claimed.
+        """Add and return the entry of a key that is about to be claimed.
 
         Raises
         ------
         CallError
-            When the call would be refused anyway, when there is no room, or
-            STORE_UNAVAILABLE when the store has all the writes it takes.
+            If the gate is closing, the call would be refused anyway, or the
+            key table is full; STORE_UNAVAILABLE if the write budget is
+            exhausted.
         """
         self.state.check_open()
         self.precheck(call)
@@ -120,7 +122,7 @@
         return entry
 
     async def wait_for_release(self, entry, call):
-        """Wait, not for long, until a claim that was not run is released."""
+        """Wait until a claim is released or the time-out has passed."""
         remaining = min(self.release_timeout, call.expires_at - self.state.clock())
         try:
             async with asyncio.timeout(max(remaining, 0.0)):
@@ -129,12 +131,12 @@
             pass
 
     async def claim_and_attempt(self, scope, entry, call, dispatch):
-        """Claim, run, and have the outcome written in the background.
+        """Claim the key, run the call, and start writing the outcome.
 
         Returns
         -------
         Answer, CallError or Claim
-            A `Claim` is another attempt's, which holds the key.
+            A `Claim` if another attempt holds the key.
         """
         claim = Claim(
             entry.digest,
@@ -147,10 +149,10 @@
                 claim_key(*scope), claim, call.expires_at
             )
         except AmbiguousClaimError:
-            # The claim may stand or still arrive. It never is dispatched, so
-            # `not run` is true; the entry stays until the store has told
-            # that the claim is given back, or a repeat would find a claim
-            # that nobody can answer for.
+            # The claim may be in the store or still arrive there. The call is
+            # never dispatched, so the effect `not run` is true. The entry
+            # stays until the store has confirmed the release: without it, a
+            # repeat would find a claim whose outcome no daemon knows.
             self.outcome_writer.release(scope, entry, claim)
             return CallError(ErrorKind.STORE_UNAVAILABLE, "the claim is unclear")
         except CallError as error:
@@ -165,7 +167,7 @@
         return await self.run_attempt(scope, entry, claim, call, dispatch)
 
     async def run_attempt(self, scope, entry, claim, call, dispatch):
-        """Run a call under its standing claim; hold it when not run."""
+        """Run a call under its claim; hold the claim if it was not run."""
         result = await self.runner.dispatch(entry, call, dispatch)
         if entry.state is KeyState.HELD:
             self.held.hold(scope, entry, claim)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
@@ -1,21 +1,23 @@
-"""Claims that were not run, kept for the key's next attempt."""
+"""Claims of calls that were not run, held for the key's next attempt."""
 
 from itertools import islice
 
 HELD_CLAIM_SECONDS = 60.0
-"""Seconds after a `not run` end for which its claim waits for a repeat."""
+"""Time for which the claim of a call that was not run waits for a repeat."""
 RELEASE_BATCH = 8
-"""Most held claims that one call, or a full table, lets go."""
+"""Most held claims that one call releases, because they have expired or the
+key table is full."""
 CLOSE_BATCH = 1_024
-"""Most held claims that are released on closing."""
+"""Most held claims that are released when the gate closes."""
 
 
 class HeldClaims:
-    """Holds claims of refused attempts until a repeat, or for some time.
+    """Holds claims of refused attempts until a repeat uses them.
 
-    An overloaded service refuses many attempts per key. To give the claim
-    back and take it again for each of them would cost two writes each, just
-    when callers repeat the most.
+    An overloaded service refuses many attempts per key. Releasing the claim
+    and acquiring it again would cost two writes for each of them, just when
+    callers retry most. A claim that no repeat uses is released after
+    `HELD_CLAIM_SECONDS`.
 
     Parameters
     ----------
@@ -25,7 +27,7 @@
     Attributes
     ----------
     entries : dict
-        Entries by (service, key), the longest held first.
+        `Entry` by (service, key), the longest held first.
     """
 
     def __init__(self, state, outcome_writer):
@@ -34,7 +36,7 @@
         self.entries = {}
 
     def hold(self, scope, entry, claim):
-        """Keep a claim that was not run for the key's next attempt."""
+        """Hold a claim for the key's next attempt."""
         self.state.counters["held"] += 1
         entry.claim = claim
         entry.task = None
@@ -45,14 +47,14 @@
             self.release(scope, entry)
 
     def resume(self, scope, entry):
-        """Hand a held claim to the key's next attempt; return the claim."""
+        """Stop holding a claim and return it for the key's next attempt."""
         del self.entries[scope]
         self.state.key_table.count_as_running(entry)
         self.state.counters["resumed"] += 1
         return entry.claim
 
     def release_expired(self):
-        """Release some claims that no repeat has asked for in time."""
+        """Release some claims that have been held for too long."""
         if self.entries:
             oldest = list(islice(self.entries.items(), RELEASE_BATCH))
             now = self.state.clock()
@@ -61,24 +63,24 @@
             )
 
     def release_oldest(self):
-        """Release some claims, the longest held, to make room."""
+        """Release some of the longest held claims, to free table space."""
         self.release_within_budget(list(self.entries)[:RELEASE_BATCH])
 
     def release_within_budget(self, scopes):
-        """Release held claims as far as the store has writes to spare."""
+        """Release held claims while the write budget has tokens."""
         for scope in scopes:
             if not self.state.claims.budget.has_token():
                 return
             self.release(scope, self.entries[scope])
 
     def release_newest(self):
-        """Release claims on closing, at most `CLOSE_BATCH` of them."""
-        # The newest first: their callers are the likeliest to come back.
+        """Release the newest held claims, at most `CLOSE_BATCH` of them."""
+        # The newest first, as their callers are the most likely to retry.
         for scope in list(reversed(self.entries))[:CLOSE_BATCH]:
             self.release(scope, self.entries[scope])
 
     def release(self, scope, entry):
-        """Give a held claim back; no attempt uses it from now on."""
+        """Release a held claim in the store."""
         del self.entries[scope]
         self.state.key_table.count_as_running(entry)
         self.state.counters["released"] += 1
