--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/home.py
@@ -1,4 +1,4 @@
-"""Calls with keys that are bound to the daemon that minted them."""
+"""Calls with home-bound keys, which only the daemon that issued them runs."""
 
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_daemon._internal.idempotency import keys
@@ -6,7 +6,10 @@
 
 
 class HomeKeys:
-    """Runs or forwards calls with home-bound keys; the store isn't used.
+    """Runs calls with home-bound keys, or forwards them to the key's home.
+
+    The store is not needed: only the process that issued a key may run its
+    call, and it remembers the outcome in memory.
 
     Parameters
     ----------
@@ -23,8 +26,9 @@
     async def forward(self, call, home):
         """Forward a call to the daemon that its key is bound to.
 
-        The home itself tells whether it is still the process that minted
-        the key: its incarnation in gossip also grows without a restart.
+        The home checks itself whether it is still the process that issued
+        the key. Its incarnation in gossip does not show this, as it also
+        grows without a restart.
         """
         member = self.state.live_member(home.home)
         if member is None or home.home == self.state.local.name:
@@ -43,8 +47,8 @@
             )
         expires_at = home.issued_ms / 1000 + keys.HOME_KEY_TTL_SECONDS
         if self.state.clock() >= expires_at:
-            # What is remembered of a key goes after this time. To run it
-            # now could be the second time, and nothing would show it.
+            # The record of a key is dropped after this time, so the call may
+            # have run before without a trace.
             raise CallError(ErrorKind.OUTCOME_UNKNOWN, "the key is too old")
         self.state.check_open()
         entry = self.state.key_table.add(scope, digest)
@@ -52,7 +56,7 @@
         return await self.runner.start(entry, attempt)
 
     async def run_attempt(self, scope, entry, call, dispatch, expires_at):
-        """Make the attempt of a home-bound key."""
+        """Dispatch the call and record its outcome in the key table."""
         result = await self.runner.dispatch(entry, call, dispatch)
         if entry.state is KeyState.HELD:
             self.state.key_table.remove(scope, entry)
@@ -62,6 +66,6 @@
 
 
 def home_unavailable():
-    """Return the error for a key whose home can't tell any more."""
+    """Return the error for a key whose home process is gone."""
     detail = "the daemon that the key is bound to is gone"
     return CallError(ErrorKind.OUTCOME_UNKNOWN, detail)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes and releases of claims, written in the background."""
+"""Writes outcomes and releases of claims to the store, in the background."""
 
 import asyncio
 from dataclasses import replace
@@ -8,13 +8,13 @@
 from papayabay_daemon._internal.idempotency.key_table import KeyState
 
 RECORD_TTL_SECONDS = 60.0
-"""Seconds that a claimed key is remembered once its outcome is stored."""
+"""Time for which a key stays in memory after its outcome has been stored."""
 LARGE_ANSWER_TTL_SECONDS = keys.HOME_KEY_TTL_SECONDS
-"""The same for an answer too large for the row; only memory holds it."""
+"""The same if the answer is too large for the row and is only in memory."""
 
 
 class OutcomeWriter:
-    """Writes what became of claims, then lets their entries go.
+    """Writes outcomes of claims, then removes or replaces their entries.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
         self.state = state
 
     def release(self, scope, entry, claim):
-        """Give a claim back that no attempt uses from now on."""
+        """Release a claim in the background; no attempt may use it now."""
         entry.state = KeyState.RELEASING
         entry.released = asyncio.Event()
         self.write_in_background(scope, entry, claim)
@@ -33,8 +33,8 @@
     def write_in_background(self, scope, entry, claim):
         """Write a claim's outcome in the background.
 
-        The caller's answer doesn't wait for the store; the entry answers
-        repeats until the row can.
+        The caller's answer does not wait for the store. Until the outcome is
+        in the row, repeats are answered from the entry.
         """
         entry.task = None
         claim = replace(claim, state=row_state(entry))
@@ -43,21 +43,21 @@
         self.state.spawn(self.write(scope, entry, claim))
 
     async def write(self, scope, entry, claim):
-        """Write a claim's outcome, then let its entry go."""
+        """Write a claim's outcome, then remove or replace its entry."""
         await self.state.claims.write_outcome(claim_key(*scope), claim)
         if claim.state is ClaimState.OPEN:
             self.state.key_table.remove(scope, entry)
             entry.released.set()
         else:
             in_row = claim.answer is not None or entry.answer is None
-            memory = RECORD_TTL_SECONDS if in_row else LARGE_ANSWER_TTL_SECONDS
+            ttl = RECORD_TTL_SECONDS if in_row else LARGE_ANSWER_TTL_SECONDS
             self.state.key_table.replace_by_record(
-                scope, entry, self.state.clock() + memory
+                scope, entry, self.state.clock() + ttl
             )
 
 
 def row_state(entry):
-    """Return the state that a settled claim's row gets."""
+    """Return the state of the row for the outcome of an entry."""
     if entry.state is KeyState.DONE:
         return ClaimState.DONE
     if entry.state is KeyState.RELEASING:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/owners.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/owners.py
@@ -1,17 +1,17 @@
-"""Hints of which daemon claimed a key, and asking that daemon."""
+"""Cache of the daemons that own claims, and forwarding of calls to them."""
 
 from papayabay_core.errors import CallError, ErrorKind
 
-MAX_OWNER_HINTS = 4_096
-"""Most keys of which it is remembered who claimed them."""
+MAX_CACHED_OWNERS = 4_096
+"""Most keys whose owner is cached."""
 
 
 class ClaimOwners:
-    """Remembers claimants of keys that were repeated here.
+    """Caches which daemons own the claims on keys that were repeated here.
 
-    To ask the store each time would cost a write that fails. A hint may be
-    old: whoever gets a forwarded call looks at its own memory and at the
-    store, so a wrong one runs nothing twice.
+    Without it each repeat would cost a claim write that fails. An entry is
+    only a hint and may be stale. A wrong one runs no call twice, as the
+    daemon that gets a forwarded call checks its own memory and the store.
 
     Parameters
     ----------
@@ -20,7 +20,7 @@
     Attributes
     ----------
     names_by_key : dict
-        Names of daemons by (service, key), the oldest hint first.
+        Names of daemons by (service, key), the oldest entry first.
     """
 
     def __init__(self, state):
@@ -28,7 +28,7 @@
         self.names_by_key = {}
 
     def get(self, scope):
-        """Return the member that claimed a key when last seen, or None."""
+        """Return the member that probably owns a key's claim, or None."""
         name = self.names_by_key.get(scope)
         member = self.state.live_member(name) if name else None
         if member is None:
@@ -36,14 +36,20 @@
         return member
 
     def remember(self, scope, name):
-        """Remember who claimed a key; the oldest hint goes beyond the cap."""
+        """Cache the owner of a key's claim; evict the oldest if full."""
         self.names_by_key.pop(scope, None)
         self.names_by_key[scope] = name
-        if len(self.names_by_key) > MAX_OWNER_HINTS:
+        if len(self.names_by_key) > MAX_CACHED_OWNERS:
             del self.names_by_key[next(iter(self.names_by_key))]
 
     async def forward(self, member, call):
-        """Ask the claimant, which knows what became of the call."""
+        """Forward a call to the owner of its key's claim.
+
+        Raises
+        ------
+        CallError
+            The owner's error; KEY_IN_PROGRESS if it cannot be reached.
+        """
         self.state.counters["forwarded_out"] += 1
         scope = (call.service, call.idempotency_key)
         self.remember(scope, member.name)
@@ -53,6 +59,7 @@
             if error.kind is not ErrorKind.LINK_UNAVAILABLE:
                 raise
             self.names_by_key.pop(scope, None)
-            # The key's first call may have run, so `not run` would mislead.
+            # LINK_UNAVAILABLE has the effect `not run`, but the first call
+            # with this key may have run.
             detail = "the daemon that runs it can't be reached now"
             raise CallError(ErrorKind.KEY_IN_PROGRESS, detail) from error
--- a/tests/unit/daemon/test_idempotency_held.py
+++ b/tests/unit/daemon/test_idempotency_held.py
@@ -87,7 +87,7 @@
         self.assertEqual(self.cluster.gates["b"].owners, {})
 
     async def test_hints_are_bounded(self):
-        with mock.patch.object(owners, "MAX_OWNER_HINTS", 2):
+        with mock.patch.object(owners, "MAX_CACHED_OWNERS", 2):
             for number in range(4):
                 await self.refuse("a", f"own {number}")
                 await self.refuse("b", f"own {number}")
