--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/repeats.py
@@ -1,4 +1,4 @@
-"""Answers to calls whose key is known, here or in the store."""
+"""Answers to repeats: calls whose key is known here or in the store."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class RepeatHandler:
-    """Answers repeats; it never runs anything.
+    """Answers repeats without running a call.
 
     Parameters
     ----------
@@ -23,7 +23,7 @@
         self.owners = owners
 
     async def answer(self, entry, call, digest, may_forward):
-        """Answer a call whose key is known here."""
+        """Answer a call whose key is in this daemon's key table."""
         if entry.digest != digest:
             self.state.counters["conflicts"] += 1
             raise CallError(ErrorKind.KEY_CONFLICT)
@@ -33,16 +33,16 @@
         return self.recorded_answer(entry, call)
 
     async def join(self, entry, call, may_forward):
-        """Wait for the running attempt while the repeat's own life lasts."""
+        """Wait for the running attempt until the repeat itself expires."""
         self.state.counters["joined"] += 1
         remaining = max(call.expires_at - self.state.clock(), 0.0)
         entry.waiters += 1
         task = entry.task
         try:
-            ended, _ = await asyncio.wait({task}, timeout=remaining)
+            finished, _ = await asyncio.wait({task}, timeout=remaining)
         finally:
             entry.waiters -= 1
-        if not ended:
+        if not finished:
             raise CallError(ErrorKind.KEY_IN_PROGRESS)
         result = result_of(task)
         if isinstance(result, Claim):
@@ -52,7 +52,13 @@
         return answers.answer_for_repeat(result, call)
 
     def recorded_answer(self, entry, call):
-        """Return the first answer again, or say what is known instead."""
+        """Return the recorded answer.
+
+        Raises
+        ------
+        CallError
+            OUTCOME_UNKNOWN or STORE_UNAVAILABLE if there is none.
+        """
         if entry.state is KeyState.DONE and entry.answer is None:
             detail = "it was run; its answer was too large to be kept"
             raise CallError(ErrorKind.OUTCOME_UNKNOWN, detail)
@@ -63,22 +69,22 @@
         raise CallError(ErrorKind.OUTCOME_UNKNOWN)
 
     async def answer_from_claim(self, claim, call, digest, may_forward):
-        """Answer a call whose key another attempt claimed.
+        """Answer a call whose key another attempt has claimed.
 
-        A claim is never taken over while its outcome is open: its holder may
-        be paused, and would go on where it stood.
+        A claim without an outcome is never taken over: its owner may only be
+        paused, and would then run the call after all.
         """
         if claim.state is None:
             raise CallError(ErrorKind.OUTCOME_UNKNOWN, "the claim can't be read")
         member = self.state.live_member(claim.daemon)
         if claim.digest != digest:
-            # The claimant may only hold the claim, unrun, and then frees the
-            # key for another request; it alone can tell.
-            open_elsewhere = (
+            # The owner may only hold the claim of a call that was not run.
+            # The key is then free for another request; only the owner knows.
+            may_be_held_elsewhere = (
                 claim.state is ClaimState.CLAIMED
                 and claim.daemon != self.state.local.name
             )
-            if open_elsewhere and may_forward and member is not None:
+            if may_be_held_elsewhere and may_forward and member is not None:
                 return await self.owners.forward(member, call)
             self.state.counters["conflicts"] += 1
             raise CallError(ErrorKind.KEY_CONFLICT)
@@ -95,11 +101,12 @@
         return await self.owners.forward(member, call)
 
     async def answer_from_memory(self, claim, call, digest):
-        """Answer from this daemon's memory for a claim in its name.
+        """Answer a call from memory, for a claim in this daemon's name.
 
-        An earlier process of this name has taken its memory with it. This
-        one forgets an undecided claim only after the row told its outcome,
-        so a row that still shows it claimed was read stale.
+        The memory of an earlier process of this daemon is lost. This process
+        drops an undecided claim only after its outcome is in the row. So if
+        the row shows a claim of this process that is not in memory, the read
+        was stale.
         """
         entry = self.state.key_table.get((call.service, call.idempotency_key))
         ours = claim.instance_id == self.state.key_mint.instance_id
@@ -111,7 +118,7 @@
 
 
 def answer_of_claim(claim):
-    """Return the first answer that a claim's row holds, or None."""
+    """Return the first answer recorded in a claim's row, or None."""
     if claim.state is not ClaimState.DONE or claim.answer is None:
         return None
     return answers.unpack_answer(claim.answer)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
@@ -1,4 +1,4 @@
-"""One attempt of a keyed call, in a task that outlives its caller."""
+"""Runs attempts of calls with keys in tasks that outlive their callers."""
 
 import asyncio
 
@@ -8,17 +8,18 @@
 from papayabay_daemon._internal.idempotency.key_table import KeyState
 
 DISPATCH_GRACE_SECONDS = 0.5
-"""Seconds after a call's life for its dispatch to say how it ended."""
+"""Time after a call has expired in which its dispatch may still report how
+it ended."""
 
 
 class AttemptRunner:
-    """Starts attempts and notes in their entries what became of them.
+    """Starts attempts and records their outcomes in their entries.
 
-    An attempt runs in a task of its own, so that a caller who leaves doesn't
-    end it: a non-idempotent call that is cancelled after it was handed over
-    leaves an outcome that nobody knows, where a caller who comes back with
-    the key would have had an answer. Its life bounds the task. A call whose
-    callers have all left before it is dispatched isn't dispatched.
+    An attempt runs in its own task, so that it is not cancelled when its
+    caller disconnects. Cancelling a non-idempotent call after the target got
+    it would make its outcome unknown, whereas now a caller that retries with
+    the key gets the answer. The call's lifetime bounds the task. A call whose
+    callers have all left before its dispatch is not dispatched.
 
     Parameters
     ----------
@@ -37,7 +38,7 @@
         try:
             await asyncio.wait({task})
         except asyncio.CancelledError:
-            # The key may be at its next attempt already, whose caller stays.
+            # The key may already have a later attempt, whose caller waits.
             if entry.task is task:
                 entry.first_caller_waits = False
             await close_unread_answer(task)
@@ -47,12 +48,18 @@
         return result_of(task)
 
     async def dispatch(self, entry, call, dispatch):
-        """Dispatch a call and note in the entry what became of it."""
+        """Dispatch a call and record its outcome in the entry.
+
+        Returns
+        -------
+        Answer or CallError
+        """
         remaining = call.expires_at - self.state.clock()
         if remaining <= 0 or not entry.waiters:
-            # A process paused after its claim resumes here with a call that
-            # its caller has given up; the clock counted the pause. A pause
-            # after this line is found by the remaining time on the link.
+            # If the process was paused after it had claimed the key, the call
+            # has expired by now, as the clock counts the pause. A pause after
+            # this check is covered by the remaining lifetime that is sent
+            # with the call over the link.
             entry.state = KeyState.HELD
             self.state.counters["unsent"] += 1
             return CallError(ErrorKind.EXPIRED_UNSENT)
@@ -75,14 +82,14 @@
         return await self.record_answer(entry, answer)
 
     def record_error(self, entry, error):
-        """Note an attempt's error in its entry and return the error."""
+        """Record an attempt's error in its entry and return the error."""
         not_run = error.answer.effect is Effect.NOT_RUN
         entry.state = KeyState.HELD if not_run else KeyState.UNKNOWN
         self.state.counters[error.answer.effect.value] += 1
         return error
 
     async def record_answer(self, entry, answer):
-        """Note an attempt's answer in its entry and return the answer."""
+        """Record an attempt's answer in its entry and return the answer."""
         self.state.counters[answer.effect.value] += 1
         if answer.effect is Effect.NOT_RUN:
             entry.state = KeyState.HELD
@@ -98,12 +105,12 @@
 
 
 def is_running(task):
-    """Return whether an attempt goes on; None is an ended one."""
+    """Return whether an attempt is running; None stands for a finished one."""
     return task is not None and not task.done()
 
 
 def result_of(task):
-    """Return an ended attempt's result; raise a fresh copy of its error."""
+    """Return a finished attempt's result, or raise a copy of its error."""
     if task.cancelled():
         raise CallError(ErrorKind.OUTCOME_UNKNOWN, "the daemon is stopping")
     if task.exception() is not None:
@@ -115,7 +122,7 @@
 
 
 async def close_unread_answer(task):
-    """Close the streamed answer of an attempt whose first caller left."""
-    ended = task.done() and not task.cancelled() and task.exception() is None
-    if ended and isinstance(task.result(), Answer):
+    """Close the streamed answer of a finished attempt without a reader."""
+    finished = task.done() and not task.cancelled() and task.exception() is None
+    if finished and isinstance(task.result(), Answer):
         await answers.close_rest(task.result().body)
