--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/__init__.py
@@ -1,1 +1,1 @@
-"""The flow of a call: entry, attempts, the call tree, cancellation."""
+"""Flow of a call: entry, attempts, the call tree and cancellation."""
--- a/tests/unit/daemon/test_calls_chains.py
+++ b/tests/unit/daemon/test_calls_chains.py
@@ -1,4 +1,4 @@
-"""What call paths go on to call, learned from their runs."""
+"""Tests of the model of downstream calls, learned from runs of paths."""
 
 import unittest
 from unittest import mock
@@ -13,14 +13,14 @@
 
 
 class FakeRouter:
-    """Levels of services by path key."""
+    """Returns fixed levels by path key and records the requests."""
 
     def __init__(self, levels):
         self.levels = levels
-        self.asked = set()
+        self.requested_levels = set()
 
     def path_level(self, service, path_key):
-        self.asked.add((service, path_key))
+        self.requested_levels.add((service, path_key))
         return self.levels[path_key]
 
 
@@ -36,9 +36,9 @@
     def level(self):
         return self.model.level_below(PATH)
 
-    def test_nothing_is_said_of_a_path_hardly_seen(self):
+    def test_path_with_few_runs_has_no_level(self):
         self.assertEqual(self.level(), ADMIT_ALL)
-        self.run_path(chains.LEAST_SEEN - 1, STOCK)
+        self.run_path(chains.MIN_RUNS - 1, STOCK)
         self.assertEqual(self.level(), ADMIT_ALL)
         self.run_path(1, STOCK)
         self.assertEqual(self.level(), 500)
@@ -46,31 +46,33 @@
     def test_lowest_level_of_the_usual_children_counts(self):
         self.run_path(10, STOCK, PRICES)
         self.assertEqual(self.level(), 70)
-        self.assertEqual(self.router.asked, {("stock", STOCK), ("prices", PRICES)})
+        self.assertEqual(
+            self.router.requested_levels, {("stock", STOCK), ("prices", PRICES)}
+        )
 
     def test_rare_child_does_not_count(self):
-        """Symptom: a path is refused though its usual services are idle.
+        """Guards against refusing a path whose usual services are idle.
 
-        One run in four calls a busy service, and the path takes over that
-        service's level. Cause: children counted whatever their share.
+        One run in four calls a busy service. If children counted whatever
+        their share, the path would take over that service's level.
         """
         self.run_path(30, STOCK)
         self.run_path(10, STOCK, PRICES)
         self.assertEqual(self.level(), 500)
 
-    def test_former_habit_is_forgotten(self):
-        self.run_path(chains.HALVE_AFTER - 1, PRICES)
+    def test_children_no_longer_called_are_evicted(self):
+        self.run_path(chains.DECAY_RUNS - 1, PRICES)
         self.assertEqual(self.level(), 70)
-        self.run_path(chains.HALVE_AFTER * 8, STOCK)
+        self.run_path(chains.DECAY_RUNS * 8, STOCK)
         self.assertEqual(self.level(), 500)
         self.assertNotIn(PRICES, self.model.paths[PATH].children)
 
     def test_memory_is_bounded(self):
-        for number in range(chains.HALVE_AFTER):
+        for number in range(chains.DECAY_RUNS):
             self.model.note(PATH, [f"service/{number}"])
         self.assertEqual(self.model.paths[PATH].children, {})
-        self.assertEqual(self.model.paths[PATH].runs, chains.HALVE_AFTER // 2)
-        with mock.patch.object(chains, "MOST_PATHS", 2):
+        self.assertEqual(self.model.paths[PATH].runs, chains.DECAY_RUNS // 2)
+        with mock.patch.object(chains, "MAX_PATHS", 2):
             for path_key in ("shop/second", "shop/third"):
                 self.run_path(1, STOCK, path_key=path_key)
             self.run_path(1, STOCK)
