--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -1,4 +1,4 @@
-"""The caller's side: attempts at upstreams until one answers for good."""
+"""Caller side of a call: attempts at upstreams until one answer is final."""
 
 import asyncio
 from dataclasses import replace
@@ -11,7 +11,8 @@
 from papayabay_daemon._internal.retries import Attempts
 
 ANSWER_GRACE_SECONDS = 0.02
-"""How long an ended call waits for the callee's own, more exact word."""
+"""Time that an expired call still waits for an answer: the callee reports
+more precisely whether the call was run."""
 
 
 class Dispatcher:
@@ -21,7 +22,7 @@
     ----------
     components : CallComponents
     receiver : Receiver
-        Takes the calls that this daemon's own target is chosen for.
+        Handles the calls for which this daemon's own target is chosen.
     retries : RetryRules
     """
 
@@ -31,13 +32,20 @@
         self.retries = retries
 
     async def dispatch(self, call, account):
-        """Return the answer of the last attempt, or of a doubtful one.
+        """Send a call, with retries, and return its answer.
 
         Parameters
         ----------
         call : Call
         account : CreditAccount
-            Pays for retries, and for what each attempt's subtree may spend.
+            Retry credits for this call's retries and for the retries in the
+            subtree of each attempt.
+
+        Returns
+        -------
+        Answer
+            Of the last attempt, or of an earlier one that may have been run;
+            see `combine_attempts`.
         """
         self.retries.first_attempt(call)
         attempts = Attempts()
@@ -48,19 +56,19 @@
                 self.components.quarantine.check(call)
                 member = self.components.router.choose(call, attempts.tried)
             except CallError as error:
-                answer = self.no_more_upstreams(call, error, answer)
-                return whole_truth(answer, attempts.doubtful)
+                answer = self.final_answer(call, error, answer)
+                return combine_attempts(answer, attempts.doubtful)
             answer = await self.attempt(member, call, account, attempts)
             attempts.ended(member.name, answer)
             decision = self.retries.decide(call, answer, attempts, account)
-            self.note_end(call, answer, decision)
+            self.log_decision(call, answer, decision)
             if not decision.again:
-                return whole_truth(answer, attempts.doubtful)
+                return combine_attempts(answer, attempts.doubtful)
             self.components.counters.retries += 1
             await asyncio.sleep(decision.pause_s)
 
-    def note_end(self, call, answer, decision):
-        """Log what follows a failed attempt, and why."""
+    def log_decision(self, call, answer, decision):
+        """Log the retry decision after an attempt, with its reason."""
         if answer.kind is None and not decision.again:
             return
         self.components.log.note(
@@ -70,37 +78,39 @@
             after=outcome_of(answer),
         )
 
-    def no_more_upstreams(self, call, error, answer):
-        """Return the last attempt's answer, or the router's refusal."""
+    def final_answer(self, call, error, answer):
+        """Return the last attempt's answer, or the error if there was none."""
         if answer is not None:
             answer.exhausted = True
             return answer
-        refused = error_answer(error)
-        refused.exhausted = True
-        return refused
+        refusal = error_answer(error)
+        refusal.exhausted = True
+        return refusal
 
-    async def attempt(self, member, call, account, before):
-        """Send one attempt and settle its credits and the router's books.
+    async def attempt(self, member, call, account, previous):
+        """Send one attempt and account for its credits and its result.
 
         Parameters
         ----------
         member : Member
         call : Call
         account : CreditAccount
-        before : Attempts
-            Those made before.
+        previous : Attempts
+            Earlier attempts of the same call.
         """
-        granted = account.split()
-        # Only few calls hold credits, and copying one takes as long as
-        # choosing its upstream.
+        attempt_credits = account.split()
+        # Few calls have credits, and copying a call takes as long as choosing
+        # its upstream, so it is copied only if something differs.
         attempt = call
-        repeated = call.repeated or before.arrived
-        if granted != call.credits or repeated != call.repeated:
-            attempt = replace(call, credits=granted, repeated=repeated)
+        repeated = call.repeated or previous.arrived
+        if attempt_credits != call.credits or repeated != call.repeated:
+            attempt = replace(call, credits=attempt_credits, repeated=repeated)
         self.components.counters.attempts += 1
-        # What is known has to be read before the attempt changes it.
+        # Read before the attempt, which changes the router's state.
         log = self.components.log
-        known = self.components.router.explain(member, call) if log.is_on else None
+        explanation = (
+            self.components.router.explain(member, call) if log.is_on else None
+        )
         self.components.router.started(member, call)
         started = now()
         answer = None
@@ -112,17 +122,18 @@
             elapsed = now() - started
             self.components.router.ended(member, call, answer, elapsed)
             self.components.latencies.attempt_ended(call.path_key, answer, elapsed)
-            log.attempt(call, before.made + 1, known, answer, elapsed)
-        account.give_back(min(answer.credits_left, granted))
+            log.attempt(call, previous.made + 1, explanation, answer, elapsed)
+        account.give_back(min(answer.credits_left, attempt_credits))
         return answer
 
     async def send(self, member, call):
-        """Send an attempt on its way, and wait no longer than its life.
+        """Send an attempt and wait for its answer until it expires.
 
         Raises
         ------
         CallError
-            EXPIRED when the life ended before an answer came.
+            EXPIRED_UNSENT if the call has expired already, EXPIRED if it
+            expires before the answer arrives.
         """
         remaining = call.remaining()
         if remaining <= 0:
@@ -136,23 +147,23 @@
             raise CallError(ErrorKind.EXPIRED) from None
 
 
-def whole_truth(answer, doubtful):
-    """Return what is true of all attempts of a call together.
+def combine_attempts(answer, ambiguous):
+    """Return the answer that holds for all attempts of a call together.
 
-    The last attempt's `not run` speaks of itself. Where an earlier attempt
-    broke off after it was handed over, a target may have run the call; the
-    caller would be told that it was not, and find its effect there. So the
-    doubtful answer goes back in its place.
+    The effect `not run` of the last attempt covers that attempt alone. If an
+    earlier attempt reached a target and then failed, the target may have run
+    the call, and `not run` would be false. In that case the answer of the
+    earlier attempt is returned.
 
     Parameters
     ----------
     answer : Answer
         Of the last attempt.
-    doubtful : Answer or None
-        Of the latest attempt before it that may have been run.
+    ambiguous : Answer or None
+        Of the latest attempt that a target may have run.
     """
-    if doubtful is None or answer.effect is not Effect.NOT_RUN:
+    if ambiguous is None or answer.effect is not Effect.NOT_RUN:
         return answer
-    doubtful.exhausted = True
-    doubtful.load = answer.load
-    return doubtful
+    ambiguous.exhausted = True
+    ambiguous.load = answer.load
+    return ambiguous
--- a/tests/unit/daemon/test_dispatch_doubt.py
+++ b/tests/unit/daemon/test_dispatch_doubt.py
@@ -1,3 +1,5 @@
+"""Tests of the answer to a call of which an earlier attempt may have run."""
+
 import asyncio
 import random
 import unittest
@@ -16,7 +18,7 @@
 
 
 class ScriptedRouter:
-    """Offers upstreams in turn, then refuses."""
+    """Chooses the named upstreams in turn, then has none left."""
 
     def __init__(self, names):
         self.names = iter(names)
@@ -38,17 +40,17 @@
 
 
 class ScriptedLinks:
-    """Ends each upstream's call as the script says."""
+    """Fails the call at each upstream with the given error kind."""
 
-    def __init__(self, ends):
-        self.ends = ends
+    def __init__(self, error_kinds):
+        self.error_kinds = error_kinds
 
     async def call(self, member, call):
-        return error_answer(CallError(self.ends[member.name]))
+        return error_answer(CallError(self.error_kinds[member.name]))
 
 
-class RepeatAlways:
-    """Retries at once while upstreams of the script are left."""
+class RetryUntil:
+    """Retries without backoff until a number of attempts were made."""
 
     def __init__(self, attempts):
         self.attempts = attempts
@@ -76,21 +78,20 @@
     )
 
 
-class DoubtTest(unittest.TestCase):
-    """A refusal after a doubtful attempt is no promise of `not run`.
+class AmbiguousOutcomeTest(unittest.TestCase):
+    """Guards against the answer `not-run` for a request that a target has run.
 
-    Symptom: a caller is told `not-run`, and a target has run its request.
-    Sequence: an idempotent call is handed to a target, whose daemon is
-    killed; the attempt at the next upstream is refused. Cause: the answer
-    of the last attempt was returned as if it spoke of the earlier one too.
+    An idempotent call is handed to a target whose daemon is then killed, and
+    the attempt at the next upstream is refused. The effect `not run` of that
+    last answer does not cover the earlier attempt.
     """
 
-    def dispatch(self, *kinds, offered=None, attempts=None):
-        ends = {f"u{number}": kind for number, kind in enumerate(kinds)}
+    def dispatch(self, *kinds, available_upstreams=None, attempts=None):
+        error_kinds = {f"u{number}": kind for number, kind in enumerate(kinds)}
         parts = SimpleNamespace(
             local=SimpleNamespace(name="here"),
-            router=ScriptedRouter(list(ends)[:offered]),
-            links=ScriptedLinks(ends),
+            router=ScriptedRouter(list(error_kinds)[:available_upstreams]),
+            links=ScriptedLinks(error_kinds),
             counters=CallCounters(),
             accounts=SimpleNamespace(check=lambda call: None),
             quarantine=SimpleNamespace(check=lambda call: None),
@@ -98,25 +99,25 @@
             latencies=Latencies(),
             log=DecisionLog(),
         )
-        retries = RepeatAlways(attempts or len(ends))
+        retries = RetryUntil(attempts or len(error_kinds))
         dispatcher = Dispatcher(parts, None, retries)
         return asyncio.run(dispatcher.dispatch(browse(), CreditAccount(3)))
 
-    def test_refusal_after_a_lost_link_is_doubtful(self):
+    def test_refusal_after_a_lost_link_is_unknown(self):
         answer = self.dispatch(ErrorKind.LINK_LOST, ErrorKind.LINK_UNAVAILABLE)
         self.assertIs(answer.effect, Effect.UNKNOWN)
         self.assertIs(answer.kind, ErrorKind.LINK_LOST)
         self.assertTrue(answer.exhausted)
 
-    def test_doubt_outlasts_several_refusals(self):
+    def test_unknown_outcome_survives_several_refusals(self):
         answer = self.dispatch(
             ErrorKind.TARGET_LOST, ErrorKind.LEAVING, ErrorKind.OVERLOADED
         )
         self.assertIs(answer.kind, ErrorKind.TARGET_LOST)
 
-    def test_doubt_stays_when_no_upstream_is_left(self):
+    def test_unknown_outcome_survives_without_upstreams(self):
         answer = self.dispatch(
-            ErrorKind.LINK_LOST, ErrorKind.OVERLOADED, attempts=3, offered=2
+            ErrorKind.LINK_LOST, ErrorKind.OVERLOADED, attempts=3, available_upstreams=2
         )
         self.assertIs(answer.kind, ErrorKind.LINK_LOST)
 
