--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/answers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/answers.py
@@ -1,4 +1,4 @@
-"""Answers made of error kinds."""
+"""Conversion of call errors to answers."""
 
 from papayabay_core.calls import Answer
 from papayabay_core.errors import ERROR_ANSWERS, CallError
@@ -7,17 +7,17 @@
 
 
 def error_answer(error, credits_left=0, load=None):
-    """Return the answer that tells of a call's error.
+    """Return the answer for a call's error.
 
-    It has no body: the door through which it leaves makes one, in its
-    dialect. Made here, it would be made once more there, and on overloaded
-    daemons most answers are refusals.
+    It has no body. The listener that sends the answer renders the body in the
+    caller's dialect; a body made here would be rendered a second time, and on
+    an overloaded daemon most answers are refusals.
 
     Parameters
     ----------
     error : CallError
     credits_left : int
-        Unused retry credits that come back.
+        Unused retry credits, returned to the caller's side.
     load : LoadState or None
     """
     row = ERROR_ANSWERS[error.kind]
@@ -33,7 +33,7 @@
 
 
 async def answer_or_error(awaitable):
-    """Return what is awaited, or the answer of its `CallError`."""
+    """Return the awaited answer, or the answer for its `CallError`."""
     try:
         return await awaitable
     except CallError as error:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/components.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/components.py
@@ -1,4 +1,4 @@
-"""What the call flow is made of; handed whole to each of its modules."""
+"""Components and counters that the modules of the call flow share."""
 
 import random
 from collections.abc import Callable
@@ -23,18 +23,23 @@
 
 @dataclass(slots=True)
 class CallCounters:
-    """Counts of the call flow since the daemon started.
+    """Counters of the call flow since the start of the daemon.
 
     Attributes
     ----------
     entered, left : int
-        Requests that came by the caller door, and callers that left first.
+        Requests from callers, and those whose caller disconnected before the
+        answer.
     outgoing : int
         Calls made by the target beside this daemon.
     received : int
-        Calls that came for the target beside this daemon.
+        Calls received for the target beside this daemon.
+    forwarded : int
+        Calls that other daemons forwarded because of their idempotency key.
     attempts, retries : int
-        Attempts sent to upstreams, and how many of them were repeats.
+        Attempts sent to upstreams, and how many of them were retries.
+    answered : dict of str to int
+        Answered requests by the name of their error kind, or "ANSWERED".
     """
 
     entered: int = 0
@@ -49,12 +54,18 @@
 
 @dataclass(slots=True)
 class CallComponents:
-    """The neighbours of the call flow.
+    """Components of the daemon that the call flow uses.
 
     Attributes
     ----------
+    local : Member
+        This daemon.
     policy : callable
         Returns the policy in force.
+    accounts : Authenticator
+    limits : RateLimits
+        Rate limits of the accounts.
+    log : DecisionLog
     """
 
     settings: DaemonSettings
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/pause.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/pause.py
@@ -1,59 +1,61 @@
-"""Notices that this process was stopped, and what that means for requests."""
+"""Detects that this process was suspended, to refuse stale requests."""
 
 import asyncio
 
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.utils.clock import now
 
-TICK_SECONDS = 0.1
-PAUSE_SECONDS = 1.0
-UNREAD_SECONDS = 0.1
+TICK_INTERVAL_SECONDS = 0.1
+MIN_PAUSE_SECONDS = 1.0
+"""Time without a tick that counts as a pause."""
+REFUSE_AFTER_RESUME_SECONDS = 0.1
+"""Time after a pause in which requests are refused."""
 
 
 class PauseDetector:
-    """Tells requests that waited unread while this process was stopped.
+    """Refuses requests that may have waited while this process was suspended.
 
-    A VM that is suspended, or a process that is stopped, goes on where it
-    was. Requests that came meanwhile lie in the sockets and carry no time of
-    their own: taken up with a fresh life, they run long after their callers
-    gave up, which nobody would notice but in the target's work. What is read
-    right after a pause is therefore refused, `not run`.
+    Requests that arrive while the VM is suspended or the process is stopped
+    wait in the socket buffers and carry no timestamp. Given a new lifetime
+    when they are read, they would run long after their callers gave up and
+    waste the target's work unnoticed. So all requests read shortly after a
+    pause are refused with the effect `not run`.
 
     Parameters
     ----------
     clock : callable
-        Seconds, counting suspended time.
+        Returns seconds; has to count the time in which the VM is suspended.
     """
 
     def __init__(self, clock=now):
         self.clock = clock
-        self.ticked_at = clock()
+        self.last_tick_at = clock()
         self.resumed_at = float("-inf")
 
     async def run(self):
         """Tick until cancelled."""
         while True:
             self.tick()
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(TICK_INTERVAL_SECONDS)
 
     def tick(self):
-        """Note that the process runs."""
-        moment = self.clock()
-        if moment - self.ticked_at > PAUSE_SECONDS:
-            self.resumed_at = moment
-        self.ticked_at = moment
+        """Record that the process runs, and detect a pause before now."""
+        current = self.clock()
+        if current - self.last_tick_at > MIN_PAUSE_SECONDS:
+            self.resumed_at = current
+        self.last_tick_at = current
 
     def check(self):
-        """Refuse what may have waited through a pause.
+        """Refuse a request that may have been waiting during a pause.
 
-        Whether the tick or the request comes first after a pause is chance,
-        so that each looks at the clock.
+        After a pause either the periodic tick or a request may run first, so
+        this method ticks as well.
 
         Raises
         ------
         CallError
-            EXPIRED_UNSENT.
+            EXPIRED_UNSENT, shortly after a pause.
         """
         self.tick()
-        if self.clock() - self.resumed_at < UNREAD_SECONDS:
+        if self.clock() - self.resumed_at < REFUSE_AFTER_RESUME_SECONDS:
             raise CallError(ErrorKind.EXPIRED_UNSENT, "this daemon was paused")
--- a/tests/unit/daemon/test_calls_pause.py
+++ b/tests/unit/daemon/test_calls_pause.py
@@ -1,3 +1,5 @@
+"""Tests of the refusal of requests that waited during a pause."""
+
 import unittest
 
 from papayabay_core.errors import CallError, Effect, ErrorKind
@@ -6,35 +8,34 @@
 
 class PauseDetectorTests(unittest.TestCase):
     def setUp(self):
-        self.at = 50.0
-        self.detector = PauseDetector(lambda: self.at)
+        self.time = 50.0
+        self.detector = PauseDetector(lambda: self.time)
 
     def check_after(self, seconds):
-        self.at += seconds
+        self.time += seconds
         self.detector.check()
 
-    def refused_after(self, seconds):
+    def assert_refused_after(self, seconds):
         with self.assertRaises(CallError) as raised:
             self.check_after(seconds)
         self.assertIs(raised.exception.kind, ErrorKind.EXPIRED_UNSENT)
         self.assertIs(raised.exception.answer.effect, Effect.NOT_RUN)
 
-    def test_requests_that_waited_through_a_pause(self):
-        """A resumed entry ran requests whose callers had long left.
+    def test_requests_that_waited_during_a_pause_are_refused(self):
+        """Guards against running requests whose callers have left long ago.
 
-        Symptom: targets work for nobody after a VM was suspended. Sequence:
-        requests come while the process is stopped, it resumes and reads
-        them with a fresh life. Cause: they carry no time of their own.
+        Requests arrive while the process is stopped. They carry no timestamp,
+        so when the process resumes and reads them they get a new lifetime.
         """
-        self.refused_after(5.0)
-        self.refused_after(0.05)
+        self.assert_refused_after(5.0)
+        self.assert_refused_after(0.05)
         self.check_after(0.06)
 
-    def test_also_when_the_tick_comes_first(self):
-        self.at += 5.0
+    def test_pause_is_detected_if_the_tick_runs_first(self):
+        self.time += 5.0
         self.detector.tick()
-        self.refused_after(0.01)
+        self.assert_refused_after(0.01)
 
-    def test_a_busy_moment_is_no_pause(self):
+    def test_busy_event_loop_is_not_a_pause(self):
         self.check_after(0.9)
         self.check_after(0.9)
