--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/chains.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/chains.py
@@ -2,8 +2,8 @@
 
 If a service deep in the call graph refuses a request, the work of all services
 above it is wasted. So the admission levels of the services that a path calls
-lower the path's own level. That level is propagated upstream with each answer,
-until the entry refuses such a request before any work is done for it.
+lower the path's own level. That level is propagated to the callers with each
+answer, until the entry refuses such a request before any work is done for it.
 """
 
 from dataclasses import dataclass, field
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -332,11 +332,11 @@
         """Run a call that the own target makes for a live one."""
         self.components.counters.outgoing += 1
         call = self.child_call(incoming, rule, live.call)
-        live.called.add(rule.path_key)
+        live.called_paths.add(rule.path_key)
         answer = await answer_or_error(
-            self.tree.while_wanted(live, self.run(call, rule, live.account))
+            self.tree.run_while_live(live, self.run(call, rule, live.account))
         )
-        live.refused_below |= answer.failed
+        live.downstream_failed |= answer.failed
         return answer
 
     def child_call(self, incoming, rule, parent):
@@ -375,7 +375,7 @@
         if self.components.policy().decisions.retries != "credits":
             return
         digest = xxhash.xxh3_64_intdigest(incoming.body.first)
-        live.repeats.note(incoming.service, incoming.method, incoming.path, digest)
+        live.repeat_debit.note(incoming.service, incoming.method, incoming.path, digest)
 
 
 def unknown_service(policy, service):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
@@ -1,4 +1,4 @@
-"""The callee's side: admission, handing over, the answer's way back."""
+"""Callee side of a call: admission, the run on the target and the answer."""
 
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_daemon._internal.calls.answers import error_answer
@@ -6,7 +6,7 @@
 
 
 class Receiver:
-    """Takes calls for the target beside this daemon.
+    """Runs received calls on the target beside this daemon.
 
     Parameters
     ----------
@@ -29,12 +29,12 @@
         ----------
         call : Call
         peer : str
-            Daemon it came from.
+            Name of the daemon that sent it.
 
         Returns
         -------
         Answer
-            Always; errors are answers here, since they travel back on links.
+            Errors are returned as answers too, to be sent back over the link.
         """
         self.components.counters.received += 1
         if not self.components.policy().decisions.shared_rank:
@@ -46,7 +46,7 @@
             return self.refuse(call, error)
 
     async def run_admitted(self, call):
-        """Run a call once it has a slot; raises `CallError` without one."""
+        """Run a call once it is admitted; raise `CallError` if it is not."""
         self.check_service(call)
         account = self.budget.check(call)
         ticket = await self.admit(call, account)
@@ -56,7 +56,7 @@
         return answer
 
     def refuse(self, call, error):
-        """Return the answer to a call that the target never saw."""
+        """Log the refusal of a call and return the answer for it."""
         load = self.components.admission.load(call.path_key)
         self.components.log.note(
             "admission",
@@ -73,12 +73,15 @@
         return error_answer(error, call.credits, load)
 
     async def admit(self, call, account):
-        """Wait for a slot; a call that gets none has not arrived."""
+        """Wait for a slot and return its ticket.
+
+        A call that gets no slot does not count as arrived in the budget.
+        """
         ticket = None
         try:
             ticket = await self.components.admission.admit(call)
-            # While it waited in line, a target elsewhere may have ended under
-            # the same request.
+            # While the call was queued, its request may have been quarantined
+            # because it crashed a target elsewhere.
             self.components.quarantine.check(call)
         except BaseException:
             if ticket is not None:
@@ -90,16 +93,16 @@
     def check_service(self, call):
         """Refuse a call that the target beside this daemon doesn't serve.
 
-        A peer may not have heard yet that a target was withdrawn or that
-        this VM now serves something else; its calls must not reach another
-        service's target.
+        A peer may not know yet that a target was withdrawn or that this VM
+        now serves another service. Its calls must not reach the target of
+        another service.
         """
         target = self.components.registry.current
         if target is None or target.service != call.service:
             raise CallError(ErrorKind.TARGET_UNREACHABLE, "not announced here")
 
     async def hand_over(self, call, ticket):
-        """Run an admitted call; the slot is given back on every way out."""
+        """Run an admitted call on the target; always release the slot."""
         token, live = self.tree.begin(call)
         answer = None
         try:
@@ -114,32 +117,32 @@
             answer.body.rest = self.finish_after(
                 answer.body.rest, token, live, ticket, answer
             )
-        # A target that passes on what failed below it would fail elsewhere
-        # too; no daemon above need try.
-        answer.exhausted |= live.refused_below and answer.failed
+        # A target that failed because one of its own calls failed would fail
+        # elsewhere too, so no daemon on the caller's side needs to retry.
+        answer.exhausted |= live.downstream_failed and answer.failed
         answer.credits_left = live.account.close()
         answer.load = self.components.admission.load(call.path_key)
         return answer
 
     async def finish_after(self, rest, token, live, ticket, answer):
-        """Pass a streamed body on; the call ends when the body does.
+        """Yield a streamed body, and end the call when the body ends.
 
-        The target's slot is busy as long as it sends. Were the slot given
-        back with the headers, large downloads would pile up in the target
-        beyond its limit, unseen by admission.
+        The slot stays in use as long as the target sends. If it were released
+        with the headers, large downloads would accumulate in the target
+        beyond its limit without admission noticing.
         """
-        ended = None
+        finished_answer = None
         try:
             async for part in rest:
                 yield part
-            ended = answer
+            finished_answer = answer
         finally:
-            self.finish(token, live, ticket, ended)
+            self.finish(token, live, ticket, finished_answer)
 
     def finish(self, token, live, ticket, answer):
-        """Give the slot back and forget the call."""
-        cut = answer is None or answer.kind is not None
-        self.tree.end(token, cancelled=cut)
+        """Release the slot and remove the call from the call tree."""
+        cut_off = answer is None or answer.kind is not None
+        self.tree.end(token, cancelled=cut_off)
         ticket.finish(answer)
-        if not cut:
-            self.chains.note(live.call.path_key, live.called)
+        if not cut_off:
+            self.chains.note(live.call.path_key, live.called_paths)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/tree.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/tree.py
@@ -1,4 +1,4 @@
-"""The calls that the target beside this daemon is working on."""
+"""Calls that the target beside this daemon is running, and their children."""
 
 import asyncio
 import itertools
@@ -9,54 +9,54 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_daemon._internal.retries import CreditAccount, RepeatDebit
 
-MOST_BEFORE_S = 0.004
-MOST_AFTER_S = 0.012
-"""How far the end of a target's call may lie before and after that of the
-call it belongs to, seconds: before by two roundings to whole milliseconds,
-after by the ways between daemon and target and the turn of a busy loop."""
+MAX_EARLIER_SECONDS = 0.004
+MAX_LATER_SECONDS = 0.012
+"""A child call is matched to its parent by expiry if it expires at most this
+much earlier or later. Two roundings to whole milliseconds make it earlier;
+the latency between daemon and target and a busy event loop make it later."""
 
 
 @dataclass(slots=True)
 class LiveCall:
-    """A call handed to the target and not ended.
+    """A call that the target is running.
 
     Attributes
     ----------
     call : Call
     account : CreditAccount
-        Holds the retry credits of the call and its subtree.
-    repeats : RepeatDebit
-        Finds the target's own repeats among its outgoing calls.
-    children : set of asyncio.Task
-        Outgoing calls under way.
-    cut : bool
-        Whether it ended without its target's answer.
-    called : set of str
-        Path keys of the services below that it has called.
-    refused_below : bool
-        Whether one of its outgoing calls ended in a failure.
+        Retry credits of the call and its subtree.
+    repeat_debit : RepeatDebit
+        Charges the account for outgoing calls that the target repeats.
+    child_tasks : set of asyncio.Task
+        Tasks of its outgoing calls in flight.
+    called_paths : set of str
+        Path keys of its outgoing calls.
+    downstream_failed : bool
+        Whether one of its outgoing calls has failed.
+    is_cut_off : bool
+        Whether it ended without an answer of its target.
     """
 
     call: Call
     account: CreditAccount
-    repeats: RepeatDebit
-    children: set[asyncio.Task] = field(default_factory=set)
-    called: set[str] = field(default_factory=set)
-    refused_below: bool = False
-    cut: bool = False
+    repeat_debit: RepeatDebit
+    child_tasks: set[asyncio.Task] = field(default_factory=set)
+    called_paths: set[str] = field(default_factory=set)
+    downstream_failed: bool = False
+    is_cut_off: bool = False
 
 
 class CallTree:
-    """Live calls by the token that the target was given.
+    """Live calls by the token that was sent to the target.
 
     Attributes
     ----------
     live : dict of str to LiveCall
     tokens : dict of str to str
-        Newest token by request id. Where ids are those of whole requests,
-        several calls may share one.
+        Newest token by request id. Several calls may share an id, if all
+        calls of a request carry the same one.
     parents_named : bool
-        Whether any request has named the call that it was made for.
+        Whether any outgoing call has named its parent call so far.
     """
 
     def __init__(self):
@@ -67,7 +67,7 @@
         self.secret = secrets.token_hex(4)
 
     def begin(self, call):
-        """Return a new token and the live call it stands for."""
+        """Register a call; return its new token and the live call."""
         token = f"{self.secret}-{next(self.numbers):x}"
         account = CreditAccount(call.credits)
         live = LiveCall(call, account, RepeatDebit(account))
@@ -81,8 +81,8 @@
         Raises
         ------
         CallError
-            UNKNOWN_CALL when the call has ended or never was. A target that
-            goes on working for a caller who has left is stopped here.
+            UNKNOWN_CALL if there is no such call or it has ended. This stops
+            a target that goes on working for a caller that has left.
         """
         live = self.live.get(token)
         if live is None:
@@ -90,85 +90,91 @@
         return live
 
     def parent_of(self, parent_id, expires_at):
-        """Return the token of the call that a request is made for, or "".
+        """Return the token of an outgoing call's parent, or "".
 
-        Equal deadlines may be a coincidence. They are only compared until a
-        target has named a parent.
+        Calls are matched by expiry only until a target has named a parent, as
+        the expiry of two unrelated calls may coincide.
 
         Parameters
         ----------
         parent_id : str
-            What the request seems to name; empty for nothing.
+            Request id of the parent as the call names it; may be empty.
         expires_at : float or None
-            End of its life on `clock.now()`.
+            Time on `clock.now()` at which the outgoing call expires.
         """
         token = self.tokens.get(parent_id, "")
         self.parents_named = self.parents_named or bool(token)
         if token or self.parents_named or expires_at is None:
             return token
-        return self.expiring_at(expires_at)
+        return self.find_by_expiry(expires_at)
 
-    def expiring_at(self, expires_at):
-        """Return the token of the call that ends at a time, "" if none does.
+    def find_by_expiry(self, expires_at):
+        """Return the token of the live call that expires at a time, or "".
 
-        A target gives its own calls what is left of the life of the call
-        that they are for. Other requests end at any time, so that two ends
-        as near as that are seldom chance.
+        A target propagates the remaining lifetime of the call that it runs to
+        its outgoing calls, so these expire at the same time. Other requests
+        expire at any time and seldom come as close by chance.
 
         Parameters
         ----------
         expires_at : float
-            End of the outgoing call's life on `clock.now()`.
+            Time on `clock.now()` at which the outgoing call expires.
         """
-        apart = {
+        offsets = {
             token: expires_at - live.call.expires_at
             for token, live in self.live.items()
         }
-        token = min(apart, key=lambda token: abs(apart[token]), default="")
-        near = token and -MOST_BEFORE_S <= apart[token] <= MOST_AFTER_S
+        token = min(offsets, key=lambda token: abs(offsets[token]), default="")
+        near = token and -MAX_EARLIER_SECONDS <= offsets[token] <= MAX_LATER_SECONDS
         return token if near else ""
 
     def end(self, token, cancelled):
-        """Forget a call, cancelling what it still waits for if it was cut.
+        """Remove a call, and cancel its outgoing calls if it was cut off.
 
         Parameters
         ----------
         token : str
         cancelled : bool
-            Whether the call ended without the target's answer. Its outgoing
-            calls then work for nobody.
+            Whether the call ended without the target's answer. The results of
+            its outgoing calls are then no longer needed.
         """
         live = self.live.pop(token)
         if self.tokens.get(live.call.request_id) == token:
             del self.tokens[live.call.request_id]
         if not cancelled:
             return
-        live.cut = True
-        for child in live.children:
+        live.is_cut_off = True
+        for child in live.child_tasks:
             child.cancel()
 
-    async def while_wanted(self, live, running):
-        """Return what a call for a live one ends with.
+    async def run_while_live(self, live, running):
+        """Await an outgoing call of a live one and return its result.
 
-        The end of the live call cancels it. Its target, which may wait for it
-        all the same, gets an answer then: a connection closed without one
-        would tell it that this daemon failed.
+        The call is cancelled if the live call is cut off. The target may
+        still be waiting for it and then gets an answer: it would take a
+        connection closed without one for a failure of this daemon.
+
+        Parameters
+        ----------
+        live : LiveCall
+        running : awaitable
+            The outgoing call.
 
         Raises
         ------
         CallError
-            CALLER_LEFT when the live call was cut.
+            CALLER_LEFT if the live call was cut off.
         """
         task = asyncio.current_task()
-        live.children.add(task)
+        live.child_tasks.add(task)
         try:
             return await running
         except asyncio.CancelledError:
-            # Both may have come together, the target's leaving and the cut.
-            # The answer then goes to nobody.
-            if not live.cut:
+            # The target may have disconnected at the same time. Nobody then
+            # receives the answer for the error raised here.
+            if not live.is_cut_off:
                 raise
             task.uncancel()
             raise CallError(ErrorKind.CALLER_LEFT, "the call it was for") from None
         finally:
-            live.children.discard(task)
+            live.child_tasks.discard(task)
