--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -1,4 +1,4 @@
-"""Calls that begin at this daemon: callers' requests, and its target's own."""
+"""Calls that start at this daemon: requests of callers and of its target."""
 
 import asyncio
 
@@ -18,13 +18,13 @@
 from papayabay_daemon._internal.lifetime.ranks import rank_of, rank_within, standing_of
 from papayabay_daemon._internal.retries import CreditAccount
 
-UNLIMITED_SECONDS = 600.0
-"""Life of a request where policy turns deadlines off."""
+UNLIMITED_LIFETIME_SECONDS = 600.0
+"""Lifetime of a request if the policy turns deadlines off."""
 NO_ACCOUNT = Account(name="", importance=None, limit=None)
 
 
 class CallFlow:
-    """Enters requests and makes the outgoing calls of the own target.
+    """Runs callers' requests and the outgoing calls of the daemon's target.
 
     Parameters
     ----------
@@ -32,13 +32,22 @@
     tree : CallTree
     dispatcher : Dispatcher
     gate : IdempotencyGate
-        Lets a call with a key run at most once.
+        Runs a call with an idempotency key at most once.
     accounts : KeyAccounts
-        Retry credits of requests whose callers repeat them.
+        Retry credits of requests, by idempotency key.
     objectives : ObjectiveCounters
         Counts good and bad requests for the burn report.
     pause : PauseDetector
-        Refuses what waited unread while this process was stopped.
+        Refuses requests that waited while this process was suspended.
+
+    Attributes
+    ----------
+    draining : bool
+        Whether new requests of callers are refused.
+    in_flight : int
+        Requests that a shutdown has to wait for.
+    idle : asyncio.Event
+        Set while there are none.
     """
 
     def __init__(self, components, tree, dispatcher, gate, accounts, objectives, pause):
@@ -64,27 +73,28 @@
         Returns
         -------
         Answer
-            Always; errors too, with the request's identifier.
+            Errors are returned as answers too. An answer has the request's
+            identifier as a header if the caller sent none.
         """
         self.components.counters.entered += 1
         request_id = incoming.request_id or new_identifier()
         started = now()
         rule = None
-        self.begin()
+        self.begin_request()
         try:
             self.pause.check()
             self.infer_parent(incoming)
-            rule = self.rule_of(incoming)
-            answer = await self.run_entered(incoming, rule, request_id)
+            rule = self.find_rule(incoming)
+            answer = await self.run_request(incoming, rule, request_id)
         except CallError as error:
             answer = error_answer(error)
         except asyncio.CancelledError:
             self.components.counters.left += 1
             raise
         finally:
-            self.end()
+            self.end_request()
         elapsed = now() - started
-        self.count(rule, answer, elapsed)
+        self.count_answer(rule, answer, elapsed)
         if answer.kind is not None:
             self.components.log.ended(
                 request_id,
@@ -100,19 +110,26 @@
             answer.headers = [*answer.headers, (REQUEST_HEADER, request_id)]
         return answer
 
-    def begin(self):
-        """Note one more request that a shutdown has to wait for."""
+    def begin_request(self):
+        """Count a request that a shutdown has to wait for."""
         self.in_flight += 1
         self.idle.clear()
 
-    def end(self):
-        """Note the end of a request."""
+    def end_request(self):
+        """Stop counting a request that has ended."""
         self.in_flight -= 1
         if self.in_flight == 0:
             self.idle.set()
 
-    def rule_of(self, incoming):
-        """Return the policy's rule for a call; refuse a strange service."""
+    def find_rule(self, incoming):
+        """Return the policy's rule for a call.
+
+        Raises
+        ------
+        CallError
+            LEAVING for a caller's request while draining; UNKNOWN_SERVICE or
+            NO_UPSTREAM if the policy does not name the service.
+        """
         if self.draining and not incoming.call_token:
             raise CallError(ErrorKind.LEAVING, "this entry is leaving")
         policy = self.components.policy()
@@ -123,7 +140,7 @@
         return policy.rule_for(incoming.service, incoming.method, incoming.path)
 
     def route(self, policy, incoming):
-        """Return the rule of a request that names host and path only."""
+        """Return the rule of a request that only has a host and a path."""
         route = policy.routes.find(incoming.host, incoming.path)
         if route is None:
             raise unknown_service(policy, "no route takes this host and path")
@@ -131,8 +148,8 @@
         incoming.service = rule.service
         return rule
 
-    async def run_entered(self, incoming, rule, request_id):
-        """Make a caller's request a call, and run it."""
+    async def run_request(self, incoming, rule, request_id):
+        """Run a caller's request as a root call, or as a live call's child."""
         if incoming.call_token:
             live = self.tree.find(incoming.call_token)
             return await self.run_child(incoming, rule, live)
@@ -146,9 +163,9 @@
     async def run_limited(self, call, rule, account):
         """Run a caller's request if its account is within its limit.
 
-        One that would be refused for load anyway takes no token, and the token
-        of one that has not run is given back: else the repeats of an overload
-        would use up the limits of accounts that are served little.
+        A request that would be refused for load takes no token, and the token
+        of a request that was not run is returned. Otherwise the retries in an
+        overload would exhaust the limits of accounts that get little service.
         """
         if account.limit is not None:
             self.components.router.check(call)
@@ -161,29 +178,31 @@
     async def run_root(self, call, rule):
         """Run the root call of a request."""
         if not self.components.policy().decisions.deadlines:
-            return await self.run_to_the_end(call, rule)
+            return await self.run_shielded(call, rule)
         return await self.run(call, rule, None)
 
-    async def run_to_the_end(self, call, rule):
-        """Run a call whose caller's leaving cancels nothing downstream."""
+    async def run_shielded(self, call, rule):
+        """Run a call to its end even if its caller disconnects."""
         return await asyncio.shield(asyncio.ensure_future(self.run(call, rule, None)))
 
     async def run(self, call, rule, account):
-        """Dispatch a call, by way of the gate where it may run only once.
+        """Dispatch a call, through the gate if it may run at most once.
 
         Parameters
         ----------
         call : Call
         rule : CallRule
         account : CreditAccount or None
-            Of the call it is made for; None at the entry, where credits are
-            minted with the first dispatch. A repeat that the gate answers
-            from its records costs none.
+            Retry credits of the parent call. None at the entry, where they
+            are created with the first dispatch; a repeat that the gate
+            answers from its records costs none.
         """
 
-        async def dispatch(gated):
-            paying = self.entry_account(gated) if account is None else account
-            return await self.dispatcher.dispatch(gated, paying)
+        async def dispatch(admitted_call):
+            paying_account = (
+                self.entry_account(admitted_call) if account is None else account
+            )
+            return await self.dispatcher.dispatch(admitted_call, paying_account)
 
         if rule.idempotent or rule.at_most_once == "attempt":
             return await dispatch(call)
@@ -194,12 +213,14 @@
         return await self.gate.run(call, rule, dispatch)
 
     def entry_account(self, call):
-        """Return the account of a whole request, by its key if it has one.
+        """Return the retry credits of a whole request.
+
+        Requests with the same idempotency key share them.
 
         Raises
         ------
         CallError
-            RETRIES_SPENT for a caller's repeat beyond the credits.
+            RETRIES_SPENT if the caller's repeats have exhausted the credits.
         """
         if self.components.policy().decisions.retries != "credits":
             return CreditAccount(call.credits)
@@ -208,28 +229,29 @@
         )
 
     async def handle_forwarded(self, call, peer):
-        """Answer a call that a peer forwarded to its key's home.
+        """Answer a call that a peer forwarded because of its key.
 
         Returns
         -------
         Answer
-            Always; errors too.
+            Errors are returned as answers too.
         """
         self.components.counters.forwarded += 1
-        self.begin()
+        self.begin_request()
         try:
             return await answer_or_error(self.gate.handle_forwarded(call, peer))
         finally:
-            self.end()
+            self.end_request()
 
     async def dispatch_forwarded(self, call):
-        """Dispatch a forwarded call that its gate has let through."""
+        """Dispatch a forwarded call that the gate has admitted."""
         return await self.dispatcher.dispatch(call, self.entry_account(call))
 
     def entry_call(self, incoming, rule, request_id, identity=None):
         """Return the root call of a request.
 
-        The class comes from policy alone: a caller's header can't raise it.
+        Its class comes from the policy alone, so that no header of a caller
+        can raise it.
 
         Parameters
         ----------
@@ -237,12 +259,12 @@
         rule : CallRule
         request_id : str
         identity : Identity or None
-            The class of its account takes precedence over the rule's.
+            If its account has a class, it takes precedence over the rule's.
         """
         decisions = self.components.policy().decisions
-        life = entry_deadline(rule, incoming.deadline_ms)
+        lifetime = entry_deadline(rule, incoming.deadline_ms)
         if not decisions.deadlines:
-            life = UNLIMITED_SECONDS
+            lifetime = UNLIMITED_LIFETIME_SECONDS
         account = identity.account if identity else NO_ACCOUNT
         declared = rule.importance if account.importance is None else account.importance
         rank = rank_of(incoming.idempotency_key or request_id)
@@ -259,7 +281,7 @@
             importance=importance,
             rank=rank,
             depth=0,
-            expires_at=now() + life,
+            expires_at=now() + lifetime,
             credits=rule.retry_credits,
             idempotent=rule.idempotent,
             idempotency_key=incoming.idempotency_key,
@@ -270,8 +292,8 @@
             key_digest=identity.key_digest if identity else "",
         )
 
-    def count(self, rule, answer, elapsed):
-        """Count a request's end by kind, and against its objective."""
+    def count_answer(self, rule, answer, elapsed):
+        """Count a request's answer by error kind and for its objective."""
         name = answer.kind.name if answer.kind else "ANSWERED"
         answered = self.components.counters.answered
         answered[name] = answered.get(name, 0) + 1
@@ -285,42 +307,43 @@
         Raises
         ------
         CallError
-            UNKNOWN_CALL for a call that belongs to no live one, TOO_DEEP,
-            RETRIES_SPENT for a repeat beyond the credits.
+            UNKNOWN_CALL if the call has no live parent, TOO_DEEP if the call
+            chain is too long, RETRIES_SPENT if the target has repeated the
+            call and the credits are exhausted.
         """
         live = self.tree.find(incoming.call_token)
-        rule = self.rule_of(incoming)
-        self.debit_repeat(live, incoming)
+        rule = self.find_rule(incoming)
+        self.charge_repeat(live, incoming)
         return await self.run_child(incoming, rule, live)
 
     def infer_parent(self, incoming):
-        """Tie a request to the call that the own target makes it for.
+        """Set a request's token if it is a child of a live call.
 
-        Where targets don't pass a token on, their calls come in by the
-        callers' door. Taken for requests of their own they would be refused
-        one by one: a request that makes nine calls, each refused with one
-        chance in ten, would hardly ever end well.
+        Targets that do not propagate the token send their calls to the
+        callers' listener. If each of them were admitted as a request of its
+        own, a request that makes nine calls, each refused with a probability
+        of one in ten, would seldom succeed.
         """
         if not self.components.settings.calls.infer_parents:
             return
         if self.components.accounts.is_on:
-            self.find_parent(incoming)
+            self.find_named_parent(incoming)
             return
         expires_at = None
         if incoming.deadline_ms is not None:
             expires_at = now() + incoming.deadline_ms / 1_000
         incoming.call_token = self.tree.parent_of(incoming.parent_id, expires_at)
 
-    def find_parent(self, incoming):
-        """Tie a request without a key to the call that it names.
+    def find_named_parent(self, incoming):
+        """Set the token of a request without credentials from its parent id.
 
-        Such a request runs on the authority of its parent, for which an end of
-        life that happens to be the same is not enough.
+        Such a request runs with the authorization of its parent call, so a
+        matching expiry alone, which may be a coincidence, is not enough.
 
         Raises
         ------
         CallError
-            CALLER_LEFT for a call whose parent does not run here any more.
+            CALLER_LEFT if the named parent is not running here.
         """
         if incoming.authorization is not None or not incoming.parent_id:
             return
@@ -329,7 +352,7 @@
             raise CallError(ErrorKind.CALLER_LEFT, "its parent does not run here")
 
     async def run_child(self, incoming, rule, live):
-        """Run a call that the own target makes for a live one."""
+        """Run a call that this daemon's target makes for a live call."""
         self.components.counters.outgoing += 1
         call = self.child_call(incoming, rule, live.call)
         live.called_paths.add(rule.path_key)
@@ -340,11 +363,11 @@
         return answer
 
     def child_call(self, incoming, rule, parent):
-        """Return the call that a target makes for a live one."""
+        """Return the outgoing call that a target makes for a live call."""
         depth = parent.depth + 1
         if depth > self.components.settings.limits.depth:
             raise CallError(ErrorKind.TOO_DEEP)
-        life = entry_deadline(rule, incoming.deadline_ms)
+        lifetime = entry_deadline(rule, incoming.deadline_ms)
         return Call(
             request_id=incoming.request_id or parent.request_id,
             service=incoming.service,
@@ -355,7 +378,7 @@
             importance=parent.importance,
             rank=parent.rank,
             depth=depth,
-            expires_at=min(parent.expires_at, now() + life),
+            expires_at=min(parent.expires_at, now() + lifetime),
             credits=0,
             idempotent=rule.idempotent,
             idempotency_key=incoming.idempotency_key,
@@ -366,11 +389,11 @@
             account=parent.account,
         )
 
-    def debit_repeat(self, live, incoming):
-        """Take a credit for a call that the target has made before.
+    def charge_repeat(self, live, incoming):
+        """Charge a retry credit if the target has made the same call before.
 
-        Targets that retry on their own would multiply retries at each hop,
-        unseen by any daemon but the one beside them.
+        A target's own retries multiply at each hop, and only the daemon
+        beside the target can see them.
         """
         if self.components.policy().decisions.retries != "credits":
             return
@@ -379,12 +402,11 @@
 
 
 def unknown_service(policy, service):
-    """Return the error for a service that the policy doesn't name.
+    """Return the error for a service that the policy does not name.
 
-    A daemon that has just started takes calls before it has heard of any
-    configuration. Were they told that nobody names the service, and never to
-    come back, callers would give up requests that any other daemon, or this
-    one a moment later, would serve.
+    A daemon that has just started accepts calls before it has received a
+    configuration. Its error then has to allow retries, as any other daemon,
+    or this one a moment later, may serve the request.
     """
     if policy.version == 0:
         detail = "no configuration is in force at this daemon yet"
--- a/tests/unit/daemon/test_dispatch_doubt.py
+++ b/tests/unit/daemon/test_dispatch_doubt.py
@@ -88,7 +88,7 @@
 
     def dispatch(self, *kinds, available_upstreams=None, attempts=None):
         error_kinds = {f"u{number}": kind for number, kind in enumerate(kinds)}
-        parts = SimpleNamespace(
+        components = SimpleNamespace(
             local=SimpleNamespace(name="here"),
             router=ScriptedRouter(list(error_kinds)[:available_upstreams]),
             links=ScriptedLinks(error_kinds),
@@ -100,7 +100,7 @@
             log=DecisionLog(),
         )
         retries = RetryUntil(attempts or len(error_kinds))
-        dispatcher = Dispatcher(parts, None, retries)
+        dispatcher = Dispatcher(components, None, retries)
         return asyncio.run(dispatcher.dispatch(browse(), CreditAccount(3)))
 
     def test_refusal_after_a_lost_link_is_unknown(self):
