--- a/tests/unit/daemon/test_idempotency_budget.py
+++ b/tests/unit/daemon/test_idempotency_budget.py
@@ -6,10 +6,15 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.exceptions import PlatformError
 from papayabay_daemon._internal.idempotency.budget import WINDOW_SECONDS, WriteBudget
-from tests.unit.daemon.idempotency_support import CLAIM, Cluster, FakeClock, GateCase
+from tests.unit.daemon.idempotency_support import (
+    CLAIM,
+    Cluster,
+    FakeClock,
+    GateTestCase,
+)
 
 
-class BudgetTests(GateCase):
+class BudgetTests(GateTestCase):
     async def test_overloaded_store_gets_no_more_claims(self):
         """Guards against claims that starve outcomes at an overloaded store.
 
@@ -18,7 +23,7 @@
         outcomes stay unwritten.
         """
         gate = self.cluster.gates["a"]
-        self.cluster.table.choose = lambda: "down"
+        self.cluster.table.choose_fault = lambda: "down"
         errors = []
         for number in range(50):
             with self.assertRaises(CallError) as caught:
@@ -33,7 +38,7 @@
         self.assertEqual(counters["claims_held_back"], 49)
         self.assertEqual(gate.key_table.entries, {})
         self.assertEqual(gate.key_table.used_bytes, 0)
-        self.cluster.table.choose = lambda: None
+        self.cluster.table.choose_fault = lambda: None
         self.cluster.clock.time += 10.0
         self.assertEqual((await self.run_at("a", "own 1", CLAIM)).status, 201)
 
@@ -43,10 +48,10 @@
         budget.record_refusal()
         budget.tokens = 1.0
         self.assertEqual((await self.run_at("a", "own", CLAIM)).status, 201)
-        await self.settled()
+        await self.wait_for_tasks()
         self.assertEqual(self.row("own").value["state"], "done")
         self.assertLess(budget.tokens, 0.0)
-        kind = await self.kind_at("a", "another", CLAIM)
+        kind = await self.error_kind_at("a", "another", CLAIM)
         self.assertIs(kind, ErrorKind.STORE_UNAVAILABLE)
 
 
--- a/tests/unit/daemon/test_idempotency_held.py
+++ b/tests/unit/daemon/test_idempotency_held.py
@@ -9,21 +9,21 @@
 from papayabay_daemon._internal.idempotency.claims import claim_key
 from papayabay_daemon._internal.idempotency.held import HELD_CLAIM_SECONDS
 from papayabay_daemon._internal.interfaces import MemberState
-from tests.unit.daemon.idempotency_support import CLAIM, WAIT, GateCase
+from tests.unit.daemon.idempotency_support import CLAIM, TIMEOUT_SECONDS, GateTestCase
 
 REFUSALS = 6
 
 
-class HeldTests(GateCase):
+class HeldTests(GateTestCase):
     def writes(self):
         return sum(
             gate.claims.counters["writes"] for gate in self.cluster.gates.values()
         )
 
     async def refuse(self, name, key, times=1, **options):
-        self.target.endings = [ErrorKind.OVERLOADED] * times
+        self.target.outcomes = [ErrorKind.OVERLOADED] * times
         for _ in range(times):
-            kind = await self.kind_at(name, key, CLAIM, **options)
+            kind = await self.error_kind_at(name, key, CLAIM, **options)
             self.assertIs(kind, ErrorKind.OVERLOADED)
 
     async def test_refused_attempts_write_nothing_more(self):
@@ -34,12 +34,12 @@
         several writes each, where the store takes a few hundred a second.
         """
         await self.refuse("a", "own", REFUSALS)
-        await self.settled()
+        await self.wait_for_tasks()
         self.assertEqual(self.writes(), 1)
         entry = self.cluster.gates["a"].held[("orders", "own")]
         self.assertIsNone(entry.task, "it would keep a whole call's frames")
         self.assertEqual((await self.run_at("a", "own")).status, 201)
-        await self.settled()
+        await self.wait_for_tasks()
         self.assertEqual(self.writes(), 2)
         self.assertEqual(self.row("own").value["state"], "done")
         self.assertEqual(self.cluster.gates["a"].held, {})
@@ -48,7 +48,7 @@
         await self.refuse("a", "own")
         await self.refuse("b", "own", REFUSALS)
         self.assertEqual((await self.run_at("b", "own")).status, 201)
-        await self.settled()
+        await self.wait_for_tasks()
         self.assertEqual(self.row("own").value["daemon"], "a")
         self.assertEqual(self.cluster.gates["a"].claims.counters["writes"], 2)
         self.assertEqual(self.cluster.gates["b"].claims.counters["writes"], 1)
@@ -58,17 +58,17 @@
         gate = self.cluster.gates["b"]
         await self.refuse("a", "own")
         await self.refuse("b", "own")
-        self.cluster.cut = True
-        kind = await self.kind_at("b", "own")
+        self.cluster.is_partitioned = True
+        kind = await self.error_kind_at("b", "own")
         self.assertIs(kind, ErrorKind.KEY_IN_PROGRESS)
         self.assertEqual(gate.owners, {})
-        self.cluster.cut = False
+        self.cluster.is_partitioned = False
         await self.refuse("b", "own")
-        await self.cluster.gates["a"].close(WAIT)
+        await self.cluster.gates["a"].close(TIMEOUT_SECONDS)
         self.cluster.start("a", 2)
         self.assertEqual((await self.run_at("b", "own")).status, 201)
         self.cluster.members["a"].state = MemberState.DEAD
-        await self.settled()
+        await self.wait_for_tasks()
         self.assertEqual((await self.run_at("b", "own")).status, 201)
         self.assertEqual(self.target.effects, 1)
 
@@ -83,7 +83,7 @@
         await self.refuse("a", "own")
         await self.refuse("b", "own")
         self.cluster.members["a"].state = MemberState.DEAD
-        self.assertIs(await self.kind_at("b", "own"), ErrorKind.OUTCOME_UNKNOWN)
+        self.assertIs(await self.error_kind_at("b", "own"), ErrorKind.OUTCOME_UNKNOWN)
         self.assertEqual(self.cluster.gates["b"].owners, {})
 
     async def test_hints_are_bounded(self):
@@ -97,18 +97,18 @@
         gate = self.cluster.gates["a"]
         for kind in ErrorKind:
             with self.subTest(kind=kind):
-                self.target.endings = [kind]
-                await self.kind_at("a", kind.name, CLAIM)
+                self.target.outcomes = [kind]
+                await self.error_kind_at("a", kind.name, CLAIM)
                 not_run = ERROR_ANSWERS[kind].effect is Effect.NOT_RUN
                 self.assertEqual(("orders", kind.name) in gate.held, not_run)
 
     async def test_dead_holder_leaves_it_unknown(self):
         await self.refuse("a", "own")
         self.cluster.members["a"].state = MemberState.DEAD
-        self.assertIs(await self.kind_at("b", "own"), ErrorKind.OUTCOME_UNKNOWN)
+        self.assertIs(await self.error_kind_at("b", "own"), ErrorKind.OUTCOME_UNKNOWN)
         self.cluster.start("a", 2)
         for name in "ab":
-            kind = await self.kind_at(name, "own")
+            kind = await self.error_kind_at(name, "own")
             self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.assertEqual(self.target.effects, 0)
 
@@ -117,8 +117,8 @@
         for key in keys_held:
             await self.refuse("a", key)
         gate = self.cluster.gates["a"]
-        await gate.close(WAIT)
-        self.assertIs(await self.kind_at("a", keys_held[0]), ErrorKind.LEAVING)
+        await gate.close(TIMEOUT_SECONDS)
+        self.assertIs(await self.error_kind_at("a", keys_held[0]), ErrorKind.LEAVING)
         self.cluster.members["a"].state = MemberState.DEAD
         for key in keys_held:
             self.assertEqual((await self.run_at("b", key)).status, 201)
@@ -128,10 +128,10 @@
         for key in ("old", "new"):
             await self.refuse("a", key)
         with mock.patch.object(held, "CLOSE_BATCH", 1):
-            await self.cluster.gates["a"].close(WAIT)
+            await self.cluster.gates["a"].close(TIMEOUT_SECONDS)
         self.assertEqual(self.row("old").value["state"], "claimed")
         self.assertEqual(self.row("new").value["state"], "open")
-        self.assertIs(await self.kind_at("a", "old"), ErrorKind.LEAVING)
+        self.assertIs(await self.error_kind_at("a", "old"), ErrorKind.LEAVING)
         self.assertEqual(self.target.effects, 0)
 
     async def test_attempt_refused_while_closing_is_given_back(self):
@@ -145,7 +145,7 @@
 
         first = asyncio.create_task(gate.run(self.cluster.call("own"), CLAIM, refused))
         await entered.wait()
-        closing = asyncio.create_task(gate.close(WAIT))
+        closing = asyncio.create_task(gate.close(TIMEOUT_SECONDS))
         await asyncio.sleep(0)
         refuse.set()
         await asyncio.gather(first, closing, return_exceptions=True)
@@ -154,18 +154,18 @@
 
     async def test_closing_is_bounded_when_the_store_is_down(self):
         await self.refuse("a", "own")
-        self.cluster.table.choose = lambda: "down"
-        async with asyncio.timeout(WAIT):
+        self.cluster.table.choose_fault = lambda: "down"
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await self.cluster.gates["a"].close(0.05)
-        self.cluster.table.choose = lambda: None
+        self.cluster.table.choose_fault = lambda: None
         self.assertEqual(self.row("own").value["state"], "claimed")
-        self.assertIs(await self.kind_at("a", "own"), ErrorKind.STORE_UNAVAILABLE)
+        self.assertIs(await self.error_kind_at("a", "own"), ErrorKind.STORE_UNAVAILABLE)
 
     async def test_forgotten_claim_is_given_back(self):
         await self.refuse("a", "own")
         self.cluster.clock.time += HELD_CLAIM_SECONDS
         await self.run_at("a", "another")
-        await self.settled()
+        await self.wait_for_tasks()
         self.assertEqual(self.row("own").value["state"], "open")
         self.assertEqual((await self.run_at("b", "own")).status, 201)
 
@@ -173,8 +173,8 @@
         await self.refuse("a", "own")
         key_table = self.cluster.gates["a"].key_table
         key_table.max_bytes = key_table.used_bytes
-        self.assertIs(await self.kind_at("a", "another"), ErrorKind.OVERLOADED)
-        await self.settled()
+        self.assertIs(await self.error_kind_at("a", "another"), ErrorKind.OVERLOADED)
+        await self.wait_for_tasks()
         self.assertEqual((await self.run_at("a", "another")).status, 201)
 
     async def test_other_request_may_use_a_key_that_never_ran(self):
@@ -183,8 +183,8 @@
                 await self.refuse("a", name)
                 answer = await self.run_at(name, name, body=b"other")
                 self.assertEqual(answer.status, 201)
-                await self.settled()
-                kind = await self.kind_at(name, name)
+                await self.wait_for_tasks()
+                kind = await self.error_kind_at(name, name)
                 self.assertIs(kind, ErrorKind.KEY_CONFLICT)
 
     async def test_leaving_callers_end_no_later_attempt(self):
@@ -220,9 +220,9 @@
         await entered.wait()
         joined = asyncio.create_task(gate.run(self.cluster.call("own"), CLAIM, refused))
         await asyncio.sleep(0)
-        self.target.go.clear()
+        self.target.may_finish.clear()
         refuse.set()
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not gate.held:
                 await asyncio.sleep(0)
         second = asyncio.create_task(gate.run(self.cluster.call("own"), CLAIM, large))
@@ -231,7 +231,7 @@
         await asyncio.gather(first, joined, return_exceptions=True)
         await self.target.started.wait()
         self.assertEqual(gate.key_table.get(("orders", "own")).waiters, 1)
-        self.target.go.set()
+        self.target.may_finish.set()
         answer = await second
         self.assertEqual(closed, [])
         rest = [part async for part in answer.body.rest]
--- a/tests/unit/daemon/test_idempotency_interleaving.py
+++ b/tests/unit/daemon/test_idempotency_interleaving.py
@@ -16,7 +16,7 @@
 from papayabay_daemon._internal.idempotency import key_table
 from papayabay_daemon._internal.idempotency.held import HELD_CLAIM_SECONDS
 from papayabay_daemon._internal.interfaces import MemberState
-from tests.unit.daemon.idempotency_support import EITHER, WAIT, Cluster
+from tests.unit.daemon.idempotency_support import EITHER, TIMEOUT_SECONDS, Cluster
 
 
 class InterleavingTests(unittest.TestCase):
@@ -87,7 +87,7 @@
                 if act in ("restart", "close"):
                     old.append(cluster.gates[name])
                     if act == "close":
-                        group.create_task(cluster.gates[name].close(WAIT))
+                        group.create_task(cluster.gates[name].close(TIMEOUT_SECONDS))
                     cluster.start(name, cluster.members[name].incarnation + 1)
                     prepare(cluster.gates[name])
                 elif act == "forget":
@@ -96,9 +96,9 @@
                     cluster.members[name].state = MemberState[act.upper()]
                 elif act == "pause":
                     cluster.clock.time += chance.uniform(0, 1)
-                elif cluster.table.late:
+                elif cluster.table.delayed_writes:
                     with contextlib.suppress(ConditionFailed):
-                        cluster.table.apply(cluster.table.late.pop())
+                        cluster.table.apply(cluster.table.delayed_writes.pop())
 
         def prepare(gate):
             gate.set_forwarded_dispatch(dispatch)
@@ -110,16 +110,16 @@
         calls, old, call_effects = [], [], set()
         limited, small = chance.random() < 0.3, chance.random() < 0.3
         acts = ["restart", "close", "dead", "alive", "pause", "late", "forget"]
-        cluster.table.choose = fault
+        cluster.table.choose_fault = fault
         for gate in cluster.gates.values():
             prepare(gate)
         keys = ["own 1", "own 2", cluster.gates["a"].mint()]
-        async with asyncio.timeout(WAIT * 6):
+        async with asyncio.timeout(TIMEOUT_SECONDS * 6):
             async with asyncio.TaskGroup() as group:
                 group.create_task(trouble())
                 for key in keys * 3:
                     group.create_task(client(key))
-            cluster.table.choose = lambda: None
+            cluster.table.choose_fault = lambda: None
             await cluster.close()
             for gate in old:
                 await gate.close()
--- a/tests/unit/daemon/test_idempotency_keys.py
+++ b/tests/unit/daemon/test_idempotency_keys.py
@@ -10,11 +10,11 @@
     EITHER,
     TOKEN,
     FakeClock,
-    GateCase,
+    GateTestCase,
 )
 
 
-class KeyTests(GateCase):
+class KeyTests(GateTestCase):
     async def test_bad_keys(self):
         home = self.cluster.gates["a"].mint()
         forged = home[:-1] + ("0" if home[-1] != "0" else "1")
@@ -30,7 +30,7 @@
         ]
         for key, rule, kind in cases:
             with self.subTest(key=key):
-                self.assertIs(await self.kind_at("a", key, rule), kind)
+                self.assertIs(await self.error_kind_at("a", key, rule), kind)
         self.assertEqual(self.target.effects, 0)
 
     async def test_full_table_refuses_rather_than_forgets(self):
@@ -38,16 +38,16 @@
         table.max_bytes = 1
         keys = [self.cluster.gates["a"].mint() for _ in range(2)]
         await self.run_at("a", keys[0])
-        self.assertIs(await self.kind_at("a", keys[1]), ErrorKind.OVERLOADED)
+        self.assertIs(await self.error_kind_at("a", keys[1]), ErrorKind.OVERLOADED)
         self.assertEqual((await self.run_at("a", keys[0])).body.first, b"done 1")
         self.cluster.clock.time += 901 + key_table.BUCKET_SECONDS
         table.drop_expired()
-        kind = await self.kind_at("a", keys[0])
+        kind = await self.error_kind_at("a", keys[0])
         self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.assertEqual(table.used_bytes, 0)
 
 
-class HomeTests(GateCase):
+class HomeTests(GateTestCase):
     async def test_restarted_home_never_runs_its_old_keys(self):
         """Symptom: a grant took effect twice after a daemon's restart.
 
@@ -60,7 +60,7 @@
         for incarnation in (1, 2):
             self.cluster.start("a", incarnation)
             for name in "ab":
-                kind = await self.kind_at(name, key)
+                kind = await self.error_kind_at(name, key)
                 self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.assertEqual(self.target.effects, 1)
         self.assertEqual(self.cluster.table.rows, {})
@@ -72,11 +72,11 @@
 
     async def test_home_out_of_reach(self):
         key = self.cluster.gates["a"].mint()
-        self.cluster.cut = True
-        kind = await self.kind_at("b", key)
+        self.cluster.is_partitioned = True
+        kind = await self.error_kind_at("b", key)
         self.assertIs(kind, ErrorKind.LINK_UNAVAILABLE)
         self.cluster.members["a"].state = MemberState.DEAD
-        kind = await self.kind_at("b", key)
+        kind = await self.error_kind_at("b", key)
         self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.assertEqual(self.target.effects, 0)
 
--- a/tests/unit/daemon/test_idempotency_repeats.py
+++ b/tests/unit/daemon/test_idempotency_repeats.py
@@ -5,27 +5,27 @@
 from papayabay_core.calls import Answer, Body
 from papayabay_core.errors import ErrorKind
 from papayabay_daemon._internal.interfaces import MemberState
-from tests.unit.daemon.idempotency_support import CLAIM, GateCase
+from tests.unit.daemon.idempotency_support import CLAIM, GateTestCase
 
 
-class RepeatTests(GateCase):
+class RepeatTests(GateTestCase):
     async def test_later_repeats_get_the_first_answer_everywhere(self):
         home = self.cluster.gates["a"].mint()
         for key in ("own", home):
             first = await self.run_at("a", key)
             for name in "aba":
-                self.assert_same(first, await self.run_at(name, key))
+                self.assert_same_answer(first, await self.run_at(name, key))
         self.assertEqual(self.target.effects, 2)
 
     async def test_row_answers_when_the_claimant_is_gone(self):
         first = await self.run_at("a", "own")
-        await self.settled()
+        await self.wait_for_tasks()
         self.cluster.members["a"].state = MemberState.DEAD
-        self.assert_same(first, await self.run_at("b", "own"))
+        self.assert_same_answer(first, await self.run_at("b", "own"))
 
     async def test_concurrent_repeats_join_the_running_attempt(self):
         for key in ("own", self.cluster.gates["b"].mint()):
-            self.target.go.clear()
+            self.target.may_finish.clear()
             self.target.started.clear()
             async with asyncio.TaskGroup() as group:
                 first = group.create_task(self.run_at("a", key))
@@ -33,26 +33,26 @@
                 others = [group.create_task(self.run_at(n, key)) for n in "abab"]
                 for _ in range(20):
                     await asyncio.sleep(0)
-                self.target.go.set()
+                self.target.may_finish.set()
             for other in others:
-                self.assert_same(first.result(), other.result())
+                self.assert_same_answer(first.result(), other.result())
         self.assertEqual(self.target.effects, 2)
 
     async def test_repeat_whose_life_ends_first_is_told_so(self):
-        self.target.go.clear()
+        self.target.may_finish.clear()
         first = asyncio.create_task(self.run_at("a", "own"))
         await self.target.started.wait()
-        kind = await self.kind_at("a", "own", life=0.0)
+        kind = await self.error_kind_at("a", "own", lifetime=0.0)
         self.assertIs(kind, ErrorKind.KEY_IN_PROGRESS)
-        self.target.go.set()
+        self.target.may_finish.set()
         await first
 
     async def test_other_body_is_a_conflict_and_runs_nothing(self):
         for key in ("own", self.cluster.gates["a"].mint()):
             await self.run_at("a", key)
-            await self.settled()
+            await self.wait_for_tasks()
             for name in "ab":
-                kind = await self.kind_at(name, key, body=b"other")
+                kind = await self.error_kind_at(name, key, body=b"other")
                 self.assertIs(kind, ErrorKind.KEY_CONFLICT)
         self.assertEqual(self.target.effects, 2)
 
@@ -63,31 +63,31 @@
         runs it; the caller comes back. Cause: cancelling the attempt with
         its caller loses the outcome.
         """
-        self.target.go.clear()
+        self.target.may_finish.clear()
         first = asyncio.create_task(self.run_at("a", "own"))
         await self.target.started.wait()
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
-        self.target.go.set()
+        self.target.may_finish.set()
         answer = await self.run_at("a", "own")
         self.assertEqual(answer.body.first, b"done 1")
         self.assertEqual(self.target.effects, 1)
 
     async def test_not_run_lets_the_next_attempt_run(self):
         for key in ("own", self.cluster.gates["a"].mint()):
-            self.target.endings = [ErrorKind.OVERLOADED]
-            self.assertIs(await self.kind_at("a", key), ErrorKind.OVERLOADED)
-            await self.settled()
+            self.target.outcomes = [ErrorKind.OVERLOADED]
+            self.assertIs(await self.error_kind_at("a", key), ErrorKind.OVERLOADED)
+            await self.wait_for_tasks()
             self.assertEqual((await self.run_at("b", key)).status, 201)
         self.assertEqual(self.target.effects, 2)
 
     async def test_unknown_stays_unknown(self):
         for key in ("own", self.cluster.gates["a"].mint()):
-            self.target.endings = [ErrorKind.LINK_LOST]
-            self.assertIs(await self.kind_at("a", key), ErrorKind.LINK_LOST)
-            await self.settled()
+            self.target.outcomes = [ErrorKind.LINK_LOST]
+            self.assertIs(await self.error_kind_at("a", key), ErrorKind.LINK_LOST)
+            await self.wait_for_tasks()
             for name in "ab":
-                kind = await self.kind_at(name, key)
+                kind = await self.error_kind_at(name, key)
                 self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.assertEqual(self.target.effects, 2)
 
@@ -109,6 +109,6 @@
         first = await gate.run(self.cluster.call("huge"), CLAIM, huge)
         rest = [part async for part in first.body.rest]
         self.assertEqual(len(first.body.first) + sum(map(len, rest)), 2_000_000)
-        kind = await self.kind_at("b", "huge")
+        kind = await self.error_kind_at("b", "huge")
         self.assertIs(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.assertEqual(self.target.effects, 0)
--- a/tests/unit/daemon/test_idempotency_stale.py
+++ b/tests/unit/daemon/test_idempotency_stale.py
@@ -6,10 +6,10 @@
 from papayabay_daemon._internal.idempotency.claims import Claim, claim_key
 from papayabay_daemon._internal.idempotency.held import HELD_CLAIM_SECONDS
 from papayabay_daemon._internal.interfaces import MemberState
-from tests.unit.daemon.idempotency_support import WAIT, GateCase
+from tests.unit.daemon.idempotency_support import TIMEOUT_SECONDS, GateTestCase
 
 
-class StaleTests(GateCase):
+class StaleTests(GateTestCase):
     async def test_memory_answers_only_for_its_own_process(self):
         """Symptom: a repeat got an answer that was not its first call's.
 
@@ -39,15 +39,15 @@
         fresh = table.get
         for name, state in (("claimed", "claimed"), ("open", "open")):
             with self.subTest(state=state):
-                self.target.endings = [ErrorKind.OVERLOADED]
-                await self.kind_at("a", name)
+                self.target.outcomes = [ErrorKind.OVERLOADED]
+                await self.error_kind_at("a", name)
                 old = [table.rows[claim_key("orders", name)]]
                 self.cluster.clock.time += HELD_CLAIM_SECONDS
                 await self.run_at("a", f"sweep {name}")
-                await self.settled()
+                await self.wait_for_tasks()
                 old.append(table.rows[claim_key("orders", name)])
                 first = await self.run_at("b", name)
-                await self.settled()
+                await self.wait_for_tasks()
                 effects = self.target.effects
                 lagging = [row for row in old if row.value["state"] == state] * 3
                 self.assertTrue(lagging)
@@ -61,10 +61,10 @@
                 except CallError as error:
                     self.assertIs(error.kind, ErrorKind.KEY_IN_PROGRESS)
                 else:
-                    self.assert_same(first, answer)
+                    self.assert_same_answer(first, answer)
                 table.get = fresh
                 self.assertEqual(self.target.effects, effects)
-                self.assert_same(first, await self.run_at("a", name))
+                self.assert_same_answer(first, await self.run_at("a", name))
 
     async def test_claim_before_the_one_written_against_is_not_believed(self):
         """Symptom: a free key reads as unknown.
@@ -74,10 +74,10 @@
         believing a row older than the one that the write was made against.
         """
         table = self.cluster.table
-        self.target.endings = [ErrorKind.OVERLOADED]
-        await self.kind_at("a", "own")
+        self.target.outcomes = [ErrorKind.OVERLOADED]
+        await self.error_kind_at("a", "own")
         former = self.row("own")
-        await self.cluster.gates["a"].close(WAIT)
+        await self.cluster.gates["a"].close(TIMEOUT_SECONDS)
         self.cluster.members["a"].state = MemberState.DEAD
         fresh = table.get
         reads = [self.row("own"), former]
@@ -90,5 +90,5 @@
         self.assertEqual((await self.run_at("b", "own")).status, 201)
         self.assertEqual(reads, [])
         with self.assertRaises(ConditionFailed):
-            table.apply(table.late.pop())
+            table.apply(table.delayed_writes.pop())
         self.assertEqual(self.target.effects, 1)
