--- a/tests/unit/daemon/test_idempotency_interleaving.py
+++ b/tests/unit/daemon/test_idempotency_interleaving.py
@@ -1,4 +1,8 @@
-"""Random interleavings of calls, faults, restarts and pauses."""
+"""Property test of the gate under random calls, faults, restarts and pauses.
+
+Each key's call takes effect at most once, all answers to a key are the same,
+and no call ends with the effect `not run` after it was run.
+"""
 
 import asyncio
 import contextlib
@@ -20,10 +24,10 @@
 
 
 class InterleavingTests(unittest.TestCase):
-    def test_effects_and_not_run_under_faults(self):
+    def test_at_most_one_effect_and_no_false_not_run(self):
         self.reached = Counter()
         self.explore()
-        for what in (
+        for counter in (
             "held",
             "resumed",
             "released",
@@ -31,7 +35,7 @@
             "refused",
             "claims_held_back",
         ):
-            self.assertGreater(self.reached[what], 0, what)
+            self.assertGreater(self.reached[counter], 0, counter)
 
     @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
     @given(
@@ -40,90 +44,92 @@
     def explore(self, seed, fault_share):
         asyncio.run(self.interleave(random.Random(seed), fault_share))
 
-    async def interleave(self, chance, fault_share):
+    async def interleave(self, rng, fault_share):
         cluster = Cluster("abc")
         effects = {}
-        seen = {}
+        first_answers = {}
 
         def fault():
-            faulty = chance.random() < fault_share
-            return chance.choice(["down", "lost", "late"]) if faulty else None
+            faulty = rng.random() < fault_share
+            return rng.choice(["down", "lost", "late"]) if faulty else None
 
         async def dispatch(call):
-            for _ in range(chance.randrange(6)):
+            for _ in range(rng.randrange(6)):
                 await asyncio.sleep(0)
-            end = chance.random()
-            if end < 0.3:
+            draw = rng.random()
+            if draw < 0.3:
                 raise CallError(ErrorKind.OVERLOADED)
             key = call.idempotency_key
             effects[key] = effects.get(key, 0) + 1
-            call_effects.add(id(call))
-            if end < 0.5:
+            run_call_ids.add(id(call))
+            if draw < 0.5:
                 raise CallError(ErrorKind.LINK_LOST)
             return Answer(200, [], Body(f"{key} {effects[key]}".encode()))
 
         async def client(key):
             for _ in range(3):
-                gate = chance.choice(list(cluster.gates.values()))
-                body = b"other" if chance.random() < 0.1 else b"order"
-                call = cluster.call(key, body, chance.uniform(0.02, 2.0))
+                gate = rng.choice(list(cluster.gates.values()))
+                body = b"other" if rng.random() < 0.1 else b"order"
+                call = cluster.call(key, body, rng.uniform(0.02, 2.0))
                 calls.append(call)
                 try:
                     answer = await gate.run(call, EITHER, dispatch)
                 except CallError as error:
                     if error.answer.effect is Effect.NOT_RUN:
-                        self.assertNotIn(id(call), call_effects)
+                        self.assertNotIn(id(call), run_call_ids)
                 else:
                     self.assertEqual(
-                        seen.setdefault(key, answer.body.first), answer.body.first
+                        first_answers.setdefault(key, answer.body.first),
+                        answer.body.first,
                     )
 
-        async def trouble():
+        async def inject_events():
             for _ in range(10):
-                for _ in range(chance.randrange(8)):
+                for _ in range(rng.randrange(8)):
                     await asyncio.sleep(0)
-                name = chance.choice("abc")
-                act = chance.choice(acts)
-                if act in ("restart", "close"):
-                    old.append(cluster.gates[name])
-                    if act == "close":
+                name = rng.choice("abc")
+                event = rng.choice(events)
+                if event in ("restart", "close"):
+                    former_gates.append(cluster.gates[name])
+                    if event == "close":
                         group.create_task(cluster.gates[name].close(TIMEOUT_SECONDS))
                     cluster.start(name, cluster.members[name].incarnation + 1)
                     prepare(cluster.gates[name])
-                elif act == "forget":
+                elif event == "forget":
                     cluster.clock.time += HELD_CLAIM_SECONDS
-                elif act in ("dead", "alive"):
-                    cluster.members[name].state = MemberState[act.upper()]
-                elif act == "pause":
-                    cluster.clock.time += chance.uniform(0, 1)
+                elif event in ("dead", "alive"):
+                    cluster.members[name].state = MemberState[event.upper()]
+                elif event == "pause":
+                    cluster.clock.time += rng.uniform(0, 1)
                 elif cluster.table.delayed_writes:
                     with contextlib.suppress(ConditionFailed):
                         cluster.table.apply(cluster.table.delayed_writes.pop())
 
         def prepare(gate):
             gate.set_forwarded_dispatch(dispatch)
-            if not limited:
+            if not is_budget_enforced:
                 gate.claims.budget.admit = lambda: None
-            if small:
+            if is_table_small:
                 gate.key_table.max_bytes = key_table.RUNNING_ENTRY_BYTES
 
-        calls, old, call_effects = [], [], set()
-        limited, small = chance.random() < 0.3, chance.random() < 0.3
-        acts = ["restart", "close", "dead", "alive", "pause", "late", "forget"]
+        # `calls` keeps the calls alive, so that their ids stay unique.
+        calls, former_gates, run_call_ids = [], [], set()
+        is_budget_enforced, is_table_small = rng.random() < 0.3, rng.random() < 0.3
+        events = ["restart", "close", "dead", "alive", "pause", "late", "forget"]
         cluster.table.choose_fault = fault
         for gate in cluster.gates.values():
             prepare(gate)
         keys = ["own 1", "own 2", cluster.gates["a"].mint()]
         async with asyncio.timeout(TIMEOUT_SECONDS * 6):
             async with asyncio.TaskGroup() as group:
-                group.create_task(trouble())
+                group.create_task(inject_events())
                 for key in keys * 3:
                     group.create_task(client(key))
             cluster.table.choose_fault = lambda: None
             await cluster.close()
-            for gate in old:
+            for gate in former_gates:
                 await gate.close()
         self.assertLessEqual(max(effects.values(), default=0), 1)
         self.reached["effects"] += len(effects)
-        for gate in [*old, *cluster.gates.values()]:
+        for gate in [*former_gates, *cluster.gates.values()]:
             self.reached += gate.counters + gate.claims.counters
--- a/tests/unit/daemon/test_idempotency_keys.py
+++ b/tests/unit/daemon/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Keys: bad, home-bound, and what is remembered of them."""
+"""Tests of invalid keys, of home-bound keys, and of the key table."""
 
 import unittest
 
@@ -33,7 +33,7 @@
                 self.assertIs(await self.error_kind_at("a", key, rule), kind)
         self.assertEqual(self.target.effects, 0)
 
-    async def test_full_table_refuses_rather_than_forgets(self):
+    async def test_full_table_refuses_new_keys_instead_of_evicting(self):
         table = self.cluster.gates["a"].key_table
         table.max_bytes = 1
         keys = [self.cluster.gates["a"].mint() for _ in range(2)]
@@ -48,12 +48,12 @@
 
 
 class HomeTests(GateTestCase):
-    async def test_restarted_home_never_runs_its_old_keys(self):
-        """Symptom: a grant took effect twice after a daemon's restart.
+    async def test_restarted_home_does_not_run_keys_of_its_former_process(self):
+        """Guards against a second effect after a restart of the home daemon.
 
-        The home runs the call and dies before it answers; the caller repeats
-        with the key. Cause: the new process has no memory of it. The number
-        of the incarnation may even be the same.
+        The home runs the call and dies before it answers, and the caller
+        retries with the same key. The new process does not remember the key,
+        and it may even have the same incarnation.
         """
         key = self.cluster.gates["a"].mint()
         await self.run_at("a", key)
@@ -65,12 +65,12 @@
         self.assertEqual(self.target.effects, 1)
         self.assertEqual(self.cluster.table.rows, {})
 
-    async def test_refuted_suspicion_leaves_keys_good(self):
+    async def test_keys_stay_valid_after_a_refuted_suspicion(self):
         key = self.cluster.gates["a"].mint()
         self.cluster.members["a"].incarnation += 1
         self.assertEqual((await self.run_at("b", key)).status, 201)
 
-    async def test_home_out_of_reach(self):
+    async def test_unreachable_home(self):
         key = self.cluster.gates["a"].mint()
         self.cluster.is_partitioned = True
         kind = await self.error_kind_at("b", key)
@@ -82,7 +82,7 @@
 
 
 class RecordTests(unittest.TestCase):
-    def test_decided_keys_shrink_and_bytes_return(self):
+    def test_decided_keys_become_records_that_expire(self):
         clock = FakeClock()
         table = key_table.KeyTable(clock)
         scope, other = ("orders", "one"), ("orders", "two")
@@ -108,7 +108,7 @@
         self.assertIsNone(table.get(scope))
         self.assertEqual(table.used_bytes, 0)
 
-    def test_large_answer_without_room_is_not_kept(self):
+    def test_large_answer_is_not_kept_in_a_full_table(self):
         table = key_table.KeyTable(FakeClock(), key_table.LARGE_ANSWER_BYTES * 2)
         entry = table.add(("orders", "one"), "")
         table.keep_answer(entry, bytes(key_table.LARGE_ANSWER_BYTES * 2))
--- a/tests/unit/daemon/test_idempotency_repeats.py
+++ b/tests/unit/daemon/test_idempotency_repeats.py
@@ -1,4 +1,4 @@
-"""Repeats get the first answer, or what is known of it."""
+"""Tests of repeats, which get the first answer or the key's known state."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class RepeatTests(GateTestCase):
-    async def test_later_repeats_get_the_first_answer_everywhere(self):
+    async def test_later_repeats_get_the_first_answer_at_any_daemon(self):
         home = self.cluster.gates["a"].mint()
         for key in ("own", home):
             first = await self.run_at("a", key)
@@ -17,7 +17,7 @@
                 self.assert_same_answer(first, await self.run_at(name, key))
         self.assertEqual(self.target.effects, 2)
 
-    async def test_row_answers_when_the_claimant_is_gone(self):
+    async def test_repeat_is_answered_from_the_row_if_the_owner_is_dead(self):
         first = await self.run_at("a", "own")
         await self.wait_for_tasks()
         self.cluster.members["a"].state = MemberState.DEAD
@@ -38,7 +38,7 @@
                 self.assert_same_answer(first.result(), other.result())
         self.assertEqual(self.target.effects, 2)
 
-    async def test_repeat_whose_life_ends_first_is_told_so(self):
+    async def test_repeat_that_expires_first_gets_key_in_progress(self):
         self.target.may_finish.clear()
         first = asyncio.create_task(self.run_at("a", "own"))
         await self.target.started.wait()
@@ -56,12 +56,12 @@
                 self.assertIs(kind, ErrorKind.KEY_CONFLICT)
         self.assertEqual(self.target.effects, 2)
 
-    async def test_first_caller_leaving_loses_no_outcome(self):
-        """Symptom: a repeat ran a confirmation again.
+    async def test_outcome_is_recorded_if_the_first_caller_leaves(self):
+        """Guards against a repeat that runs a confirmation again.
 
-        The first caller leaves after the call was handed over; the target
-        runs it; the caller comes back. Cause: cancelling the attempt with
-        its caller loses the outcome.
+        The first caller leaves while the target runs the call, and returns.
+        If the attempt were cancelled with its caller, the outcome would be
+        lost.
         """
         self.target.may_finish.clear()
         first = asyncio.create_task(self.run_at("a", "own"))
@@ -73,7 +73,7 @@
         self.assertEqual(answer.body.first, b"done 1")
         self.assertEqual(self.target.effects, 1)
 
-    async def test_not_run_lets_the_next_attempt_run(self):
+    async def test_repeat_runs_after_an_attempt_that_was_not_run(self):
         for key in ("own", self.cluster.gates["a"].mint()):
             self.target.outcomes = [ErrorKind.OVERLOADED]
             self.assertIs(await self.error_kind_at("a", key), ErrorKind.OVERLOADED)
@@ -81,7 +81,7 @@
             self.assertEqual((await self.run_at("b", key)).status, 201)
         self.assertEqual(self.target.effects, 2)
 
-    async def test_unknown_stays_unknown(self):
+    async def test_unknown_outcome_stays_unknown(self):
         for key in ("own", self.cluster.gates["a"].mint()):
             self.target.outcomes = [ErrorKind.LINK_LOST]
             self.assertIs(await self.error_kind_at("a", key), ErrorKind.LINK_LOST)
@@ -92,21 +92,21 @@
         self.assertEqual(self.target.effects, 2)
 
     async def test_large_answer_is_kept_in_memory_and_a_huge_one_is_not(self):
-        async def parts():
+        async def body_parts():
             for _ in range(20):
                 yield bytes(100_000)
 
-        async def large(call):
+        async def answer_with_large_body(call):
             return Answer(200, [], Body(bytes(500_000)))
 
-        async def huge(call):
-            return Answer(200, [], Body(b"", parts()))
+        async def answer_with_huge_body(call):
+            return Answer(200, [], Body(b"", body_parts()))
 
         gate = self.cluster.gates["a"]
-        await gate.run(self.cluster.call("large"), CLAIM, large)
+        await gate.run(self.cluster.call("large"), CLAIM, answer_with_large_body)
         again = await self.run_at("b", "large")
         self.assertEqual(len(again.body.first), 500_000)
-        first = await gate.run(self.cluster.call("huge"), CLAIM, huge)
+        first = await gate.run(self.cluster.call("huge"), CLAIM, answer_with_huge_body)
         rest = [part async for part in first.body.rest]
         self.assertEqual(len(first.body.first) + sum(map(len, rest)), 2_000_000)
         kind = await self.error_kind_at("b", "huge")
--- a/tests/unit/daemon/test_idempotency_stale.py
+++ b/tests/unit/daemon/test_idempotency_stale.py
@@ -1,4 +1,4 @@
-"""Rows and memories that tell of an earlier time."""
+"""Tests of stale reads from the store and of claims of former processes."""
 
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.exceptions import ConditionFailed
@@ -10,11 +10,12 @@
 
 
 class StaleTests(GateTestCase):
-    async def test_memory_answers_only_for_its_own_process(self):
-        """Symptom: a repeat got an answer that was not its first call's.
+    async def test_memory_answers_only_for_claims_of_its_own_process(self):
+        """Guards against answering a repeat with another call's answer.
 
-        A row of this daemon's former process is read while this process
-        knows the key too. Cause: the name alone was compared.
+        A row written by this daemon's former process is read while this
+        process also knows the key. Comparing the daemon's name alone is not
+        enough.
         """
         await self.run_at("a", "own")
         call = self.cluster.call("own")
@@ -28,64 +29,70 @@
         answer = await gate.repeat_handler.answer_from_memory(claim, call, digest)
         self.assertEqual(answer.body.first, b"done 1")
 
-    async def test_older_revision_read_runs_nothing_twice(self):
-        """Symptom: a key read as free is run though another runs it.
+    async def test_stale_read_runs_no_call_twice(self):
+        """Guards against running a call whose key another daemon has claimed.
 
-        A claims and gives back, B claims and runs; A's read of the row
-        lags, showing the claim before or the `open` row. Cause: believing
-        a row that is older than the one that the write met.
+        A claims the key and releases it, then B claims it and runs the call.
+        A's read of the row is stale and shows A's own claim or the `open`
+        row. A row older than the one that refused A's write says nothing.
         """
         table = self.cluster.table
-        fresh = table.get
+        read_current = table.get
         for name, state in (("claimed", "claimed"), ("open", "open")):
             with self.subTest(state=state):
                 self.target.outcomes = [ErrorKind.OVERLOADED]
                 await self.error_kind_at("a", name)
-                old = [table.rows[claim_key("orders", name)]]
+                stale_rows = [table.rows[claim_key("orders", name)]]
                 self.cluster.clock.time += HELD_CLAIM_SECONDS
                 await self.run_at("a", f"sweep {name}")
                 await self.wait_for_tasks()
-                old.append(table.rows[claim_key("orders", name)])
+                stale_rows.append(table.rows[claim_key("orders", name)])
                 first = await self.run_at("b", name)
                 await self.wait_for_tasks()
                 effects = self.target.effects
-                lagging = [row for row in old if row.value["state"] == state] * 3
-                self.assertTrue(lagging)
+                pending_stale_rows = [
+                    row for row in stale_rows if row.value["state"] == state
+                ] * 3
+                self.assertTrue(pending_stale_rows)
 
-                async def stale(key, lagging=lagging):
-                    return lagging.pop() if lagging else await fresh(key)
+                async def read_stale(key, pending_stale_rows=pending_stale_rows):
+                    return (
+                        pending_stale_rows.pop()
+                        if pending_stale_rows
+                        else await read_current(key)
+                    )
 
-                table.get = stale
+                table.get = read_stale
                 try:
                     answer = await self.run_at("a", name)
                 except CallError as error:
                     self.assertIs(error.kind, ErrorKind.KEY_IN_PROGRESS)
                 else:
                     self.assert_same_answer(first, answer)
-                table.get = fresh
+                table.get = read_current
                 self.assertEqual(self.target.effects, effects)
                 self.assert_same_answer(first, await self.run_at("a", name))
 
-    async def test_claim_before_the_one_written_against_is_not_believed(self):
-        """Symptom: a free key reads as unknown.
+    async def test_read_older_than_the_expected_revision_is_ignored(self):
+        """Guards against an unknown outcome for a key that is free.
 
-        A claims, gives back and dies. B reads the `open` row, its claim is
-        lost on the way, and the read after that shows A's claim. Cause:
-        believing a row older than the one that the write was made against.
+        A claims the key, releases it and dies. B reads the `open` row, its
+        claim is lost, and the next read is stale and shows A's claim. A row
+        older than the revision that B's write expected says nothing.
         """
         table = self.cluster.table
         self.target.outcomes = [ErrorKind.OVERLOADED]
         await self.error_kind_at("a", "own")
-        former = self.row("own")
+        former_row = self.row("own")
         await self.cluster.gates["a"].close(TIMEOUT_SECONDS)
         self.cluster.members["a"].state = MemberState.DEAD
-        fresh = table.get
-        reads = [self.row("own"), former]
+        read_current = table.get
+        reads = [self.row("own"), former_row]
 
-        async def stale(key):
-            return reads.pop(0) if reads else await fresh(key)
+        async def read_stale(key):
+            return reads.pop(0) if reads else await read_current(key)
 
-        table.get = stale
+        table.get = read_stale
         table.faults = [None, "late"]
         self.assertEqual((await self.run_at("b", "own")).status, 201)
         self.assertEqual(reads, [])
