--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/caller_keys.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/caller_keys.py
@@ -74,9 +74,9 @@
             entry = self.state.key_table.get(scope)
         if entry is not None:
             return await self.repeat_handler.answer(entry, call, digest, may_forward)
-        holder = self.owners.get(scope) if may_forward else None
-        if holder is not None:
-            return await self.owners.forward(holder, call)
+        owner = self.owners.get(scope) if may_forward else None
+        if owner is not None:
+            return await self.owners.forward(owner, call)
         return await self.claim_and_run(scope, call, digest, dispatch, may_forward)
 
     async def run_with_held_claim(self, scope, entry, call, dispatch):
@@ -122,7 +122,7 @@
         return entry
 
     async def wait_for_release(self, entry, call):
-        """Wait until a claim is released or the time-out has passed."""
+        """Wait until a claim is released or the timeout has passed."""
         remaining = min(self.release_timeout, call.expires_at - self.state.clock())
         try:
             async with asyncio.timeout(max(remaining, 0.0)):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claims.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claims.py
@@ -186,11 +186,11 @@
         expected = 0
         ambiguous = False
         backoff = INITIAL_BACKOFF_SECONDS
-        first = True
+        is_first_write = True
         while self.clock() < expires_at:
-            if not first:
+            if not is_first_write:
                 self.budget.spend()
-            first = False
+            is_first_write = False
             claim.revision = expected + 1
             try:
                 await self.write(key, claim, expected)
@@ -295,7 +295,7 @@
         return claim.revision
 
     async def write(self, key, claim, expected):
-        """Write a row if it has the expected revision, within the time-out.
+        """Write a row if it has the expected revision, within the timeout.
 
         Raises
         ------
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -193,9 +193,10 @@
         raise home_unavailable()
 
     async def close(self, timeout=CLOSE_TIMEOUT_SECONDS):
-        """Wait for running attempts and pending writes, then cancel them.
+        """Wait for running attempts and pending writes up to a timeout.
 
-        The newest held claims, at most `held.CLOSE_BATCH`, are released.
+        The newest held claims, at most `held.CLOSE_BATCH`, are released. What
+        is still running at the timeout is cancelled.
 
         Parameters
         ----------
--- a/tests/unit/daemon/test_idempotency_stale.py
+++ b/tests/unit/daemon/test_idempotency_stale.py
@@ -42,25 +42,21 @@
             with self.subTest(state=state):
                 self.target.outcomes = [ErrorKind.OVERLOADED]
                 await self.error_kind_at("a", name)
-                stale_rows = [table.rows[claim_key("orders", name)]]
+                earlier_rows = [table.rows[claim_key("orders", name)]]
                 self.cluster.clock.time += HELD_CLAIM_SECONDS
                 await self.run_at("a", f"sweep {name}")
                 await self.wait_for_tasks()
-                stale_rows.append(table.rows[claim_key("orders", name)])
+                earlier_rows.append(table.rows[claim_key("orders", name)])
                 first = await self.run_at("b", name)
                 await self.wait_for_tasks()
                 effects = self.target.effects
-                pending_stale_rows = [
-                    row for row in stale_rows if row.value["state"] == state
+                stale_reads = [
+                    row for row in earlier_rows if row.value["state"] == state
                 ] * 3
-                self.assertTrue(pending_stale_rows)
+                self.assertTrue(stale_reads)
 
-                async def read_stale(key, pending_stale_rows=pending_stale_rows):
-                    return (
-                        pending_stale_rows.pop()
-                        if pending_stale_rows
-                        else await read_current(key)
-                    )
+                async def read_stale(key, stale_reads=stale_reads):
+                    return stale_reads.pop() if stale_reads else await read_current(key)
 
                 table.get = read_stale
                 try:
