--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -7,7 +7,7 @@
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.calls.answers import error_answer
 from papayabay_daemon._internal.decision_log import outcome_of
-from papayabay_daemon._internal.lifetime.timeouts import LifeTimeout
+from papayabay_daemon._internal.lifetime.timeouts import CallTimeout
 from papayabay_daemon._internal.retries import Attempts
 
 ANSWER_GRACE_SECONDS = 0.02
@@ -47,7 +47,7 @@
             Of the last attempt, or of an earlier one that may have been run;
             see `combine_attempts`.
         """
-        self.retries.first_attempt(call)
+        self.retries.record_first_attempt(call)
         attempts = Attempts()
         answer = None
         while True:
@@ -57,19 +57,19 @@
                 member = self.components.router.choose(call, attempts.tried)
             except CallError as error:
                 answer = self.final_answer(call, error, answer)
-                return combine_attempts(answer, attempts.doubtful)
+                return combine_attempts(answer, attempts.last_possibly_run)
             answer = await self.attempt(member, call, account, attempts)
             attempts.ended(member.name, answer)
             decision = self.retries.decide(call, answer, attempts, account)
             self.log_decision(call, answer, decision)
-            if not decision.again:
-                return combine_attempts(answer, attempts.doubtful)
+            if not decision.should_retry:
+                return combine_attempts(answer, attempts.last_possibly_run)
             self.components.counters.retries += 1
-            await asyncio.sleep(decision.pause_s)
+            await asyncio.sleep(decision.backoff_s)
 
     def log_decision(self, call, answer, decision):
         """Log the retry decision after an attempt, with its reason."""
-        if answer.kind is None and not decision.again:
+        if answer.kind is None and not decision.should_retry:
             return
         self.components.log.note(
             "retry",
@@ -98,11 +98,11 @@
         previous : Attempts
             Earlier attempts of the same call.
         """
-        attempt_credits = account.split()
+        attempt_credits = account.grant()
         # Few calls have credits, and copying a call takes as long as choosing
         # its upstream, so it is copied only if something differs.
         attempt = call
-        repeated = call.repeated or previous.arrived
+        repeated = call.repeated or previous.reached_target
         if attempt_credits != call.credits or repeated != call.repeated:
             attempt = replace(call, credits=attempt_credits, repeated=repeated)
         self.components.counters.attempts += 1
@@ -123,7 +123,7 @@
             self.components.router.ended(member, call, answer, elapsed)
             self.components.latencies.attempt_ended(call.path_key, answer, elapsed)
             log.attempt(call, previous.made + 1, explanation, answer, elapsed)
-        account.give_back(min(answer.credits_left, attempt_credits))
+        account.refund(min(answer.credits_left, attempt_credits))
         return answer
 
     async def send(self, member, call):
@@ -141,7 +141,7 @@
         if member.name == self.components.local.name:
             return await self.receiver.receive(call, member.name)
         try:
-            with LifeTimeout(remaining + ANSWER_GRACE_SECONDS):
+            with CallTimeout(remaining + ANSWER_GRACE_SECONDS):
                 return await self.components.links.call(member, call)
         except TimeoutError:
             raise CallError(ErrorKind.EXPIRED) from None
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/tree.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/tree.py
@@ -7,7 +7,7 @@
 
 from papayabay_core.calls import Call
 from papayabay_core.errors import CallError, ErrorKind
-from papayabay_daemon._internal.retries import CreditAccount, RepeatDebit
+from papayabay_daemon._internal.retries import CreditAccount, RetryDetector
 
 MAX_EARLIER_SECONDS = 0.004
 MAX_LATER_SECONDS = 0.012
@@ -25,7 +25,7 @@
     call : Call
     account : CreditAccount
         Retry credits of the call and its subtree.
-    repeat_debit : RepeatDebit
+    retry_detector : RetryDetector
         Charges the account for outgoing calls that the target repeats.
     child_tasks : set of asyncio.Task
         Tasks of its outgoing calls in flight.
@@ -39,7 +39,7 @@
 
     call: Call
     account: CreditAccount
-    repeat_debit: RepeatDebit
+    retry_detector: RetryDetector
     child_tasks: set[asyncio.Task] = field(default_factory=set)
     called_paths: set[str] = field(default_factory=set)
     downstream_failed: bool = False
@@ -70,7 +70,7 @@
         """Register a call; return its new token and the live call."""
         token = f"{self.secret}-{next(self.numbers):x}"
         account = CreditAccount(call.credits)
-        live = LiveCall(call, account, RepeatDebit(account))
+        live = LiveCall(call, account, RetryDetector(account))
         self.live[token] = live
         self.tokens[call.request_id] = token
         return token, live
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
@@ -18,7 +18,7 @@
     Parameters
     ----------
     settings : DaemonSettings
-    state : KeeperState
+    state : ConfigurationState
     log : ConfigurationLog
     readers : Readers
     random : random.Random
@@ -44,7 +44,7 @@
         except (PlatformError, TimeoutError) as error:
             self.failed(error)
         else:
-            self.state.take_whole(configuration)
+            self.state.apply_full_version(configuration)
             if configuration.confirmed:
                 self.state.confirm(asked_at)
 
@@ -82,14 +82,14 @@
         """
         asked_at = self.state.clock()
         head = await self.log.head()
-        held = self.state.version.held.version
+        held = self.state.version.latest.version
         if head < held:
             self.state.counts["stale_reads"] += 1
             return
         if head > held:
             patches = await self.log.patches_after(held)
-            self.state.take_patches(patches)
-        if self.state.version.held.version >= head:
+            self.state.apply_patches(patches)
+        if self.state.version.latest.version >= head:
             self.state.confirm(asked_at)
 
     def failed(self, error):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
@@ -6,7 +6,7 @@
 
 from papayabay_core.exceptions import ProtocolError
 from papayabay_daemon._internal.membership.detector import wait_event
-from papayabay_daemon._internal.membership.drawing import random_peers
+from papayabay_daemon._internal.membership.sampling import random_peers
 from papayabay_daemon._internal.quarantine.messages import (
     TOPIC,
     RegistryDigest,
@@ -246,7 +246,7 @@
 
     def detect_isolation(self):
         """Synchronize again after this daemon received nothing for long."""
-        if self.members.silence() > self.readers.longest_silence:
+        if self.members.seconds_since_packet() > self.readers.isolation_timeout:
             self.was_isolated = True
         elif self.was_isolated:
             self.was_isolated = self.is_synchronized = False
--- a/tests/unit/daemon/quarantine_fleet.py
+++ b/tests/unit/daemon/quarantine_fleet.py
@@ -98,10 +98,10 @@
     def upstreams(self, service):
         return self.live()
 
-    def silence(self):
-        return 0.0 if self.fleet.others_of(self) else self.longest_silence + 1.0
+    def seconds_since_packet(self):
+        return 0.0 if self.fleet.others_of(self) else self.isolation_timeout + 1.0
 
-    longest_silence = 1.5
+    isolation_timeout = 1.5
 
     def current(self):
         return sorted(self.live(), key=lambda member: member.name)[:2]
@@ -132,7 +132,7 @@
                 await ended.wait()
         except TimeoutError:
             if not deadly and self.running.pop(token, None):
-                self.gate.answered(call)
+                self.gate.record_answer(call)
                 self.fleet.answered(call, self)
                 return Answer(200)
         await asyncio.sleep(PROBE_DELAYS_S[0])
--- a/tests/unit/daemon/test_retries_rules.py
+++ b/tests/unit/daemon/test_retries_rules.py
@@ -13,7 +13,7 @@
     Attempts,
     CreditAccount,
     KeyAccounts,
-    RepeatDebit,
+    RetryDetector,
     RetryRatio,
     RetryRules,
 )
@@ -52,17 +52,17 @@
                 self.attempt(account, depth, late)
         left = account.close()
         for unused in late:
-            account.give_back(unused)
-        assert account.held == 0
+            account.refund(unused)
+        assert account.balance == 0
         return left
 
     def attempt(self, account, depth, late):
         """Make one attempt; its answer comes, is lost, or comes late."""
-        granted = account.split()
+        granted = account.grant()
         unused = self.run(granted, depth + 1)
         fate = self.rng.choice(("comes", "comes", "lost", "late"))
         if fate == "comes":
-            account.give_back(unused)
+            account.refund(unused)
         if fate == "late":
             late.append(unused)
 
@@ -86,18 +86,18 @@
         kept = []
         for _ in range(30):
             account = CreditAccount(held)
-            held = account.split()
-            kept.append(account.held)
+            held = account.grant()
+            kept.append(account.balance)
         self.assertEqual(kept[:3], [1, 1, 0])
         self.assertEqual(held, 1)
 
     def test_target_repeats_are_debited(self):
-        debit = RepeatDebit(CreditAccount(1))
-        debit.note("stock", "GET", "/a", b"x")
-        debit.note("stock", "GET", "/a", b"y")
-        debit.note("stock", "GET", "/a", b"x")
+        detector = RetryDetector(CreditAccount(1))
+        detector.record("stock", "GET", "/a", b"x")
+        detector.record("stock", "GET", "/a", b"y")
+        detector.record("stock", "GET", "/a", b"x")
         with self.assertRaises(CallError) as caught:
-            debit.note("stock", "GET", "/a", b"x")
+            detector.record("stock", "GET", "/a", b"x")
         self.assertEqual(caught.exception.kind, ErrorKind.RETRIES_SPENT)
 
     def test_caller_repeats_share_an_account(self):
@@ -109,7 +109,7 @@
         with self.assertRaises(CallError):
             accounts.account_for("stock", "key", 1)
         at = 601.0
-        self.assertEqual(accounts.account_for("stock", "key", 1).held, 1)
+        self.assertEqual(accounts.account_for("stock", "key", 1).balance, 1)
         self.assertEqual(len(accounts.keys), 1)
 
 
@@ -119,7 +119,7 @@
         ratio = RetryRatio(Policy, lambda: at)
         self.assertEqual(sum(ratio.allow("stock") for _ in range(9)), 3)
         for _ in range(45):
-            ratio.first_attempt("stock")
+            ratio.record_first_attempt("stock")
         self.assertEqual(sum(ratio.allow("stock") for _ in range(9)), 4)
         at = 60.0
         self.assertEqual(sum(ratio.allow("stock") for _ in range(9)), 3)
@@ -140,16 +140,16 @@
             attempts = Attempts()
             made = call()
             while True:
-                granted = account.split()
+                granted = account.grant()
                 choices = set(range(upstreams)) - attempts.tried
                 answer = Answer(200)
                 if rng.random() < 0.55:
                     answer = ended(ErrorKind.TARGET_REJECTED)
                 attempts.ended(rng.choice(sorted(choices)), answer)
-                account.give_back(granted)
+                account.refund(granted)
                 if answer.kind is None:
                     break
-                if not rules.decide(made, answer, attempts, account).again:
+                if not rules.decide(made, answer, attempts, account).should_retry:
                     return False
         return True
 
@@ -165,7 +165,7 @@
         good = 0
         for _ in range(400):
             for _ in range(40):
-                ratio.first_attempt("stock")
+                ratio.record_first_attempt("stock")
             good += self.chain_ends_well(rng, rules, held)
         return good / 400
 
@@ -188,7 +188,9 @@
 
     def retried(self, answer, a_call=None, attempts=1):
         made = Attempts(made=attempts)
-        return self.rules.decide(a_call or call(), answer, made, self.account).again
+        return self.rules.decide(
+            a_call or call(), answer, made, self.account
+        ).should_retry
 
     def test_by_kind(self):
         for kind in ErrorKind:
@@ -196,7 +198,7 @@
             with self.subTest(kind=kind):
                 expected = ERROR_ANSWERS[kind].elsewhere
                 self.assertEqual(self.retried(ended(kind)), expected)
-                self.assertEqual(self.account.held, 2 - expected)
+                self.assertEqual(self.account.balance, 2 - expected)
 
     def test_unknown_effect_only_when_idempotent(self):
         """An order was placed twice.
@@ -227,7 +229,7 @@
         self.assertTrue(refusal.exhausted)
         self.other = True
         self.assertFalse(self.retried(refusal))
-        self.assertEqual(self.account.held, 2)
+        self.assertEqual(self.account.balance, 2)
 
     def test_unspent_failure_may_be_repeated_above(self):
         self.account = CreditAccount(0)
@@ -265,6 +267,6 @@
 
     def test_pause_is_bounded_by_life(self):
         short = call(life=0.01)
-        pauses = [self.rules.pause(short, attempts) for attempts in range(1, 40)]
+        pauses = [self.rules.backoff_s(short, attempts) for attempts in range(1, 40)]
         self.assertLessEqual(max(pauses), 0.0025)
-        self.assertLessEqual(self.rules.pause(call(), 1), 0.010)
+        self.assertLessEqual(self.rules.backoff_s(call(), 1), 0.010)
