--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -68,7 +68,7 @@
             await asyncio.sleep(decision.backoff_s)
 
     def log_decision(self, call, answer, decision):
-        """Log the retry decision after an attempt, with its reason."""
+        """Log the retry decision after a failed attempt, with its reason."""
         if answer.kind is None and not decision.should_retry:
             return
         self.components.log.note(
