--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/held.py
@@ -1,86 +1,88 @@
-"""Claims that were not run, kept for the key's next attempt."""
+"""Claims of calls that were not run, held for the key's next attempt."""
 
 from itertools import islice
 
-HELD_MEMORY = 60.0
-"""Seconds after a `not run` end for which its claim waits for a repeat."""
+HELD_CLAIM_SECONDS = 60.0
+"""Time for which the claim of a call that was not run waits for a repeat."""
 RELEASE_BATCH = 8
-"""Most held claims that one call, or a full table, lets go."""
+"""Most held claims that one call releases, because they have expired or the
+key table is full."""
 CLOSE_BATCH = 1_024
-"""Most held claims that are released on closing."""
+"""Most held claims that are released when the gate closes."""
 
 
 class HeldClaims:
-    """Holds claims of refused attempts until a repeat, or for some time.
+    """Holds claims of refused attempts until a repeat uses them.
 
-    An overloaded service refuses many attempts per key. To give the claim
-    back and take it again for each of them would cost two writes each, just
-    when callers repeat the most.
+    An overloaded service refuses many attempts per key. Releasing the claim
+    and acquiring it again would cost two writes for each of them, just when
+    callers retry most. A claim that no repeat uses is released after
+    `HELD_CLAIM_SECONDS`.
 
     Parameters
     ----------
     state : GateState
-    settling : Settling
+    outcome_writer : OutcomeWriter
 
     Attributes
     ----------
     entries : dict
-        Entries by (service, key), the longest held first.
+        `Entry` by (service, key), the longest held first.
     """
 
-    def __init__(self, state, settling):
+    def __init__(self, state, outcome_writer):
         self.state = state
-        self.settling = settling
+        self.outcome_writer = outcome_writer
         self.entries = {}
 
     def hold(self, scope, entry, claim):
-        """Keep a claim that was not run for the key's next attempt."""
+        """Hold a claim for the key's next attempt."""
         self.state.counters["held"] += 1
         entry.claim = claim
         entry.task = None
-        self.state.key_table.hold(entry)
-        entry.held_until = self.state.clock() + HELD_MEMORY
+        self.state.key_table.count_as_held(entry)
+        entry.held_until = self.state.clock() + HELD_CLAIM_SECONDS
         self.entries[scope] = entry
         if self.state.closing:
             self.release(scope, entry)
 
     def resume(self, scope, entry):
-        """Hand a held claim to the key's next attempt; return the claim."""
+        """Stop holding a claim and return it for the key's next attempt."""
         del self.entries[scope]
-        self.state.key_table.resume(entry)
+        self.state.key_table.count_as_running(entry)
         self.state.counters["resumed"] += 1
         return entry.claim
 
-    def release_due(self):
-        """Release some claims that no repeat has asked for in time."""
+    def release_expired(self):
+        """Release some claims that have been held for too long."""
         if self.entries:
-            first = list(islice(self.entries.items(), RELEASE_BATCH))
-            now_held = self.state.clock()
-            self.release_some(
-                [scope for scope, entry in first if entry.held_until <= now_held]
+            oldest = list(islice(self.entries.items(), RELEASE_BATCH))
+            now = self.state.clock()
+            self.release_within_budget(
+                [scope for scope, entry in oldest if entry.held_until <= now]
             )
 
-    def release_first(self):
-        """Release some claims, the longest held, to make room."""
-        self.release_some(list(self.entries)[:RELEASE_BATCH])
+    def release_oldest(self):
+        """Release some of the longest held claims, to free table space."""
+        self.release_within_budget(list(self.entries)[:RELEASE_BATCH])
 
-    def release_some(self, scopes):
-        """Release held claims as far as the store has writes to spare."""
+    def release_within_budget(self, scopes):
+        """Release held claims while the write budget has tokens."""
         for scope in scopes:
-            if not self.state.claims.budget.spare():
+            if not self.state.claims.budget.has_token():
                 return
             self.release(scope, self.entries[scope])
 
     def release_newest(self):
-        """Release claims on closing, at most `CLOSE_BATCH` of them."""
-        # The newest first: their callers are the likeliest to come back.
+        """Release the newest held claims, at most `CLOSE_BATCH` of them."""
+        # The newest first, as their callers are the most likely to retry.
         for scope in list(reversed(self.entries))[:CLOSE_BATCH]:
             self.release(scope, self.entries[scope])
 
     def release(self, scope, entry):
-        """Give a held claim back; no attempt uses it from now on."""
+        """Release a held claim in the store."""
         del self.entries[scope]
-        self.state.key_table.resume(entry)
+        self.state.key_table.count_as_running(entry)
         self.state.counters["released"] += 1
         claim, entry.claim = entry.claim, None
-        self.settling.release(scope, entry, claim)
+        self.outcome_writer.release(scope, entry, claim)
