--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/counters.py
@@ -1,4 +1,4 @@
-"""What admission counts."""
+"""Counters of admission control."""
 
 from collections import Counter
 from dataclasses import dataclass, field, fields
@@ -6,7 +6,7 @@
 
 @dataclass(slots=True)
 class AdmissionCounters:
-    """Counts since the daemon's start.
+    """Counts since the start of the daemon.
 
     Attributes
     ----------
@@ -15,19 +15,21 @@
     refused : Counter
         Refusals per (importance class, error kind).
     displaced : int
-        Queued calls that gave way to a better one.
+        Queued calls refused in favour of one of higher priority.
     expired : int
-        Calls whose life ended before they were run.
+        Calls whose deadline passed before they were run.
     cancelled : int
-        Calls whose caller left while they waited.
+        Calls cancelled by their caller while queued.
     finished : int
-        Slots given back.
+        Slots released.
     finished_again : int
-        Further attempts to give the same slot back; ignored.
+        Repeated releases of the same slot; they have no effect.
     inversions_avoided : int
-        Calls refused since a more important class was refused just before.
+        Calls refused because a call of a more important class was refused
+        shortly before.
     downstream_refused : int
-        Calls refused since a service below their path would refuse them.
+        Calls refused because a downstream service on their path would refuse
+        them.
     """
 
     admitted: Counter = field(default_factory=Counter)
@@ -41,7 +43,7 @@
     downstream_refused: int = 0
 
     def plain(self):
-        """Return all counts as plain values with readable keys."""
+        """Return the counts as JSON values, by class and error kind."""
         counts = {entry.name: getattr(self, entry.name) for entry in fields(self)}
         counts["admitted"] = {
             importance.name.lower(): count
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/dagor.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/dagor.py
@@ -1,4 +1,4 @@
-"""Threshold by queueing time, as WeChat's DAGOR."""
+"""DAGOR admission: a threshold that follows the queueing time."""
 
 from papayabay_core.importance import ADMIT_ALL
 from papayabay_daemon._internal.admission.fifo import FifoScheme
@@ -15,13 +15,13 @@
 
 
 class Dagor(FifoScheme):
-    """Admits levels up to a threshold, into a line that is not ordered.
+    """Admits levels up to a threshold into a first-in, first-out queue.
 
     Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC
-    '18. Each window of a second or 2,000 calls, whichever ends first: mean
-    queueing time above the target lowers the expected admitted calls by
-    5 %, else they rise by 1 %; the histogram of arrivals turns that number
-    into a threshold.
+    '18. A window ends after a second or 2,000 calls, whichever comes first.
+    If its mean queueing time is above the target, 5 % fewer calls are to be
+    admitted in the next window, else 1 % more. The histogram of arrivals by
+    level gives the threshold that admits about this number.
     """
 
     def __init__(self, control):
@@ -30,10 +30,10 @@
         self.arrivals = [0] * BUCKETS
         self.window_end = 0.0
         self.calls = self.admitted = self.granted_calls = 0
-        self.waited = 0.0
+        self.total_wait_s = 0.0
 
     def refuses(self, call, now):
-        """Refuse what lies above the threshold."""
+        """Refuse calls whose level is above the threshold."""
         if now >= self.window_end or self.calls >= WINDOW_CALLS:
             self.end_window(now)
         bucket = bucket_of(call.level)
@@ -45,12 +45,12 @@
         return False
 
     def granted(self, waited, now):
-        """Note a queueing time."""
+        """Record the queueing time of a call that got a slot."""
         self.granted_calls += 1
-        self.waited += waited
+        self.total_wait_s += waited
 
     def level(self, now):
-        """Return the threshold that callers' daemons refuse by."""
+        """Return the threshold by which callers' daemons refuse early."""
         if now >= self.window_end:
             self.end_window(now)
         if self.threshold >= BUCKETS - 1:
@@ -59,13 +59,13 @@
 
     def end_window(self, now):
         target = self.control.inputs.settings.queue_target_ms / 1_000
-        if self.granted_calls and self.waited / self.granted_calls > target:
+        if self.granted_calls and self.total_wait_s / self.granted_calls > target:
             self.lower()
         else:
-            self.reopen()
+            self.raise_threshold()
         self.arrivals = [0] * BUCKETS
         self.calls = self.admitted = self.granted_calls = 0
-        self.waited = 0.0
+        self.total_wait_s = 0.0
         self.window_end = now + WINDOW_S
 
     def lower(self):
@@ -75,7 +75,7 @@
             expected -= self.arrivals[self.threshold]
             self.threshold -= 1
 
-    def reopen(self):
+    def raise_threshold(self):
         wanted = self.admitted * (1 + INCREASE)
         expected = self.admitted
         while self.threshold < BUCKETS - 1 and expected <= wanted:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/downstream.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/downstream.py
@@ -1,47 +1,49 @@
-"""What the services below each call path refuse."""
+"""Early refusal of calls that a downstream service would refuse."""
 
 from papayabay_core.importance import ADMIT_ALL, Importance
 
-FRESH_S = 0.02
+CACHE_TTL_S = 0.02
 MAX_PATHS = 1_024
 
 
-def nothing_closed():
-    """Return the closed paths of a target that calls no other service."""
+def no_closed_paths():
+    """Return no closed paths: the target calls no other service."""
     return {}
 
 
 class DownstreamLevels:
-    """Levels that the services below admit, asked for when needed.
+    """Cached admission levels of the downstream services of each call path.
 
     Attributes
     ----------
     source : callable
-        Returns, by path key, the levels that the services below are believed
-        to admit, for the paths on which they refuse some calls.
+        Returns a dict from path key to the estimated level that downstream
+        services admit. It holds only closed paths, those on which downstream
+        services refuse some calls.
     """
 
     def __init__(self):
-        self.source = nothing_closed
-        self.known = {}
-        self.known_at = float("-inf")
-        self.held = {}
+        self.source = no_closed_paths
+        self.cached_paths = {}
+        self.cached_at = float("-inf")
+        self.held_until = {}
 
     def closed(self, now):
-        """Return the closed paths; asked anew every `FRESH_S` seconds."""
-        if now - self.known_at >= FRESH_S:
-            self.known = self.source()
-            self.known_at = now
-        return self.known
+        """Return the closed paths, cached for `CACHE_TTL_S` seconds."""
+        if now - self.cached_at >= CACHE_TTL_S:
+            self.cached_paths = self.source()
+            self.cached_at = now
+        return self.cached_paths
 
     def refuses(self, call, hold_s, now):
-        """Whether a call would be refused below.
+        """Whether a downstream service would refuse a call.
 
-        After a critical call was refused, no other class passes on that path
-        for `hold_s` seconds, even if the level was lifted meanwhile.
+        After a critical call was refused, calls of all other classes on its
+        path are refused for `hold_s` seconds, even if the downstream level
+        rises meanwhile.
         """
         critical = call.importance is Importance.CRITICAL
-        if not critical and now < self.held.get(call.path_key, 0.0):
+        if not critical and now < self.held_until.get(call.path_key, 0.0):
             return True
         if call.level <= self.closed(now).get(call.path_key, ADMIT_ALL):
             return False
@@ -50,7 +52,7 @@
         return True
 
     def hold(self, path_key, until):
-        """Keep classes other than critical out of a path for a while."""
-        if path_key not in self.held and len(self.held) >= MAX_PATHS:
-            del self.held[next(iter(self.held))]
-        self.held[path_key] = until
+        """Refuse calls that are not critical on a path until a time."""
+        if path_key not in self.held_until and len(self.held_until) >= MAX_PATHS:
+            del self.held_until[next(iter(self.held_until))]
+        self.held_until[path_key] = until
