--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/fifo.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/fifo.py
@@ -1,4 +1,4 @@
-"""What the class-blind schemes have in common."""
+"""Base class of the schemes that ignore importance classes."""
 
 from papayabay_core.importance import ADMIT_ALL
 from papayabay_daemon._internal.admission.queues import FifoQueue
@@ -7,7 +7,7 @@
 
 
 class FifoScheme:
-    """First come, first served, with a bounded line and no threshold."""
+    """First in, first out, with a bounded queue and no threshold."""
 
     def __init__(self, control):
         self.control = control
@@ -15,38 +15,41 @@
 
     @property
     def enforces_deadlines(self):
-        """Whether lifetimes are regarded; a decision of the policy."""
+        """Whether the policy has deadlines enforced."""
         return self.control.inputs.decisions.deadlines
 
     def limit(self, now):
-        """Return the announced slots, ramped and backed off."""
+        """Return the announced slots, as reduced by `SlotLimit`."""
         return self.control.slot_limit.current(now)
 
     def refuses(self, call, now):
-        """Refuse nobody before the line is looked at."""
+        """Refuse no call on arrival."""
         return False
 
     def enter(self, waiting, now):
-        """Queue a call, or refuse it when the line is full."""
+        """Queue a call, or refuse it if the queue is full."""
         if self.queue.size >= self.capacity(now):
             self.control.refuse_overloaded(waiting, now)
         else:
             self.queue.push(waiting)
 
     def capacity(self, now):
-        """Return how many calls may wait."""
+        """Return how many calls may be queued."""
         return MAX_QUEUE
 
     def recheck_time(self, call, now):
-        """Let a call wait until its life is over."""
+        """Return the call's deadline: it may wait until then."""
         return call.expires_at
 
     def recheck(self, waiting, now):
-        """Let it wait on, in line since another scheme was in force."""
+        """Extend the wait to the deadline.
+
+        The call was queued under another scheme, which set an earlier time.
+        """
         waiting.recheck_at = waiting.call.expires_at
 
     def next_call(self, now):
-        """Take the oldest call."""
+        """Remove and return the oldest call, or None."""
         return self.queue.pop()
 
     def granted(self, waited, now):
@@ -56,5 +59,5 @@
         """Do nothing."""
 
     def level(self, now):
-        """Return that callers' daemons need refuse nobody."""
+        """Return a threshold that admits all levels."""
         return ADMIT_ALL
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/inputs.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/inputs.py
@@ -1,4 +1,4 @@
-"""What admission is configured by."""
+"""Configuration of admission control."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class AdmissionInputs:
-    """Policy, announcement and surroundings of one target's admission.
+    """Policy, announcement, clock and random source for one target.
 
     Attributes
     ----------
@@ -21,10 +21,10 @@
     cold_start_ms : int
         Time over which a newly announced target's limit is ramped up.
     announced_at : float
-        When it announced itself, on `clock`.
+        Time of its announcement, on `clock`.
     random : random.Random
     clock : callable
-        Returns seconds, as `papayabay_core.utils.clock.now`.
+        Returns the time in seconds, as `papayabay_core.utils.clock.now`.
     """
 
     settings: Admission = field(default_factory=Admission)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/open.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/open.py
@@ -1,4 +1,4 @@
-"""No admission control at all; the baseline."""
+"""Baseline without admission control."""
 
 from papayabay_daemon._internal.admission.fifo import FifoScheme
 
@@ -6,13 +6,14 @@
 
 
 class Open(FifoScheme):
-    """Hands everything over at once.
+    """Forwards every call to the target at once.
 
-    What a plain proxy does; the target's own queue takes the overload.
+    This is what a plain proxy does: in an overload, calls wait in the
+    target's own queue.
     """
 
     enforces_deadlines = False
 
     def limit(self, now):
-        """Return a limit that is never met."""
+        """Return a limit that is never reached."""
         return UNLIMITED
