--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/overload.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/overload.py
@@ -1,4 +1,4 @@
-"""Log lines on when overload of the target begins and ends."""
+"""Logs when an overload of the target begins and ends."""
 
 import asyncio
 
@@ -11,16 +11,16 @@
 
 
 class OverloadLog:
-    """Logs that refusals for overload began, and that they have ended.
+    """Logs the first refusal of an overload, and the end of the overload.
 
-    Overload comes and goes many times a second around its threshold. It
-    counts as ended after `QUIET_SECONDS` without a refusal, so that there
-    are two lines in that time at most.
+    A target that is close to saturation can start and stop refusing calls
+    many times a second. An overload counts as ended after `QUIET_SECONDS`
+    without a refusal, so that it logs at most two lines in that time.
 
     Parameters
     ----------
     clock : callable
-        Seconds; the clock of the times given to `refused`.
+        Returns seconds, on the clock of the times given to `refused`.
     """
 
     def __init__(self, clock):
@@ -31,35 +31,35 @@
         self.timer = None
 
     def refused(self, importance, now):
-        """Note a refusal for overload."""
+        """Record a refusal for overload; log the first one."""
         self.refused_at = now
         self.counts[importance] += 1
         if self.began_at is None:
             self.began_at = now
-            log.notice("overload begins: a {} call was refused", name_of(importance))
-            self.look_again(QUIET_SECONDS)
+            log.notice("overload begins: a {} call was refused", class_name(importance))
+            self.schedule_end_check(QUIET_SECONDS)
 
-    def look_again(self, pause):
-        """Set the timer by which the end is noticed."""
+    def schedule_end_check(self, pause):
+        """Check after a pause, in seconds, whether the overload has ended."""
         loop = asyncio.get_running_loop()
         self.timer = loop.call_later(pause, self.end_if_quiet)
 
     def end_if_quiet(self):
-        """Log the end when it has been quiet for long enough."""
-        left = self.refused_at + QUIET_SECONDS - self.clock()
-        if left > 0:
-            self.look_again(left)
+        """Log the end, or check again when the quiet time could be over."""
+        remaining = self.refused_at + QUIET_SECONDS - self.clock()
+        if remaining > 0:
+            self.schedule_end_check(remaining)
             return
         lasted = self.refused_at - self.began_at
         counts = ", ".join(
-            f"{count} {name_of(importance)}"
+            f"{count} {class_name(importance)}"
             for importance, count in self.counts.items()
         )
         self.close()
         log.notice("overload ended after {:.1f} s; refused: {}", lasted, counts)
 
     def close(self):
-        """Stop the timer and begin anew."""
+        """Stop the timer and reset the counts."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -67,6 +67,6 @@
         self.counts = dict.fromkeys(Importance, 0)
 
 
-def name_of(importance):
-    """Return a class's name as policy writes it."""
+def class_name(importance):
+    """Return the name of a class as in policies."""
     return importance.name.lower()
