--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/control.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/control.py
@@ -206,8 +206,8 @@
         elif answer is not None and answer.kind is None:
             weight = self.times.relative(ticket.call.path_key)
             mean_s = self.times.overall.mean
-            waiting = bool(self.scheme.queue.size)
-            self.slot_limit.finished(weight, waiting, mean_s, now)
+            queued = bool(self.scheme.queue.size)
+            self.slot_limit.finished(weight, queued, mean_s, now)
         self.scheme.finished(elapsed, answer, now)
         if self.scheme.queue.size:
             self.dispatch(now)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/slot_limit.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/slot_limit.py
@@ -1,19 +1,21 @@
-"""How many calls are handed over at once: slots, ramp and back-off."""
+"""Limit on concurrent calls: announced slots, cold-start ramp and back-off."""
 
 from papayabay_core.errors import ErrorKind
 from papayabay_daemon._internal.admission.slot_search import SlotSearch
 
 DECREASE = 0.7
+"""Factor applied to the calls in flight when the limit is decreased."""
 DECREASE_PERIOD_S = 0.05
 RECOVERY_S = 1.0
+"""Time in which the limit grows from zero back to all slots."""
 OVERLOAD_KINDS = frozenset({ErrorKind.TARGET_SHED, ErrorKind.TARGET_UNREACHABLE})
 
 
 class SlotLimit:
-    """The announced slots, ramped over a cold start, lowered on shedding.
+    """The announced slots, ramped up on a cold start, lowered on shedding.
 
     Additive increase, multiplicative decrease: each shed or unreachable
-    answer cuts the share of the slots in use, at most once per
+    answer decreases the share of the slots that may be used, at most once per
     `DECREASE_PERIOD_S`, and the share grows back within `RECOVERY_S`.
     """
 
@@ -21,16 +23,16 @@
         self.search = SlotSearch()
         self.announced = None
         self.share = 1.0
-        self.share_at = 0.0
-        self.cut_at = float("-inf")
+        self.share_updated_at = 0.0
+        self.decreased_at = float("-inf")
         self.reconfigure(inputs)
 
     def reconfigure(self, inputs):
-        """Take over another announcement."""
+        """Apply a changed announcement or policy."""
         announced = (inputs.slots, inputs.announced_at)
         if announced != self.announced:
             self.announced = announced
-            self.search.forget()
+            self.search.reset()
         self.searching = inputs.decisions.slot_search
         self.slots = max(1, inputs.slots)
         self.cold_share = inputs.settings.cold_share
@@ -40,43 +42,43 @@
         self.warm_at = self.announced_at + self.cold_start_s
 
     def current(self, now):
-        """Return how many calls may run at once; at least 1."""
+        """Return how many calls may run at once, at least 1."""
         usable = self.search.slots(self.slots)
         if now >= self.warm_at and self.share >= 1.0:
             return usable
-        return max(1, int(usable * self.ramp(now) * self.grown_share(now)))
+        return max(1, int(usable * self.ramp(now) * self.recovered_share(now)))
 
-    def finished(self, weight, waiting, mean_s, now):
-        """Note that a call was answered; see `SlotSearch.finished`."""
+    def finished(self, weight, queued, mean_s, now):
+        """Record an answered call; see `SlotSearch.finished`."""
         if self.searching and now >= self.warm_at and self.share >= 1.0:
-            self.search.finished(weight, waiting, mean_s, now)
+            self.search.finished(weight, queued, mean_s, now)
 
     def decrease(self, running, now):
-        """Lower the limit: the target shed a call or was unreachable.
+        """Lower the limit after the target shed a call or was unreachable.
 
         Parameters
         ----------
         running : int
-            Calls that were in use when it happened; a target that announced
-            more slots than it has is cut from there, not from its claim.
+            Calls in flight at that moment. The limit is decreased from this
+            number, since a target may announce more slots than it has.
         now : float
         """
-        if now - self.cut_at < DECREASE_PERIOD_S:
+        if now - self.decreased_at < DECREASE_PERIOD_S:
             return
         in_use = min(self.current(now), running)
         ramped = self.slots * self.ramp(now)
         self.share = min(1.0, DECREASE * in_use / ramped)
-        self.share_at = self.cut_at = now
+        self.share_updated_at = self.decreased_at = now
 
     def ramp(self, now):
         if now >= self.warm_at:
             return 1.0
-        done = max(0.0, now - self.announced_at) / self.cold_start_s
-        return self.cold_share + (1.0 - self.cold_share) * done
+        progress = max(0.0, now - self.announced_at) / self.cold_start_s
+        return self.cold_share + (1.0 - self.cold_share) * progress
 
-    def grown_share(self, now):
+    def recovered_share(self, now):
         if self.share < 1.0:
-            grown = self.share + (now - self.share_at) / RECOVERY_S
+            grown = self.share + (now - self.share_updated_at) / RECOVERY_S
             self.share = min(1.0, grown)
-            self.share_at = now
+            self.share_updated_at = now
         return self.share
