--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/service_times.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/service_times.py
@@ -1,14 +1,14 @@
-"""How long the target takes, learned per call path."""
+"""Estimates of the target's service time per call path."""
 
 from dataclasses import dataclass
 
 from papayabay_core.errors import ErrorKind
 
-FIRST_GUESS_S = 0.01
+INITIAL_MEAN_S = 0.01
 MEAN_WEIGHT = 0.1
 LOW_QUANTILE = 0.2
 QUANTILE_STEP = 0.1
-SHORTEST_S = 1e-6
+MIN_MEAN_S = 1e-6
 MAX_PATHS = 1_024
 PROBE_PERIOD_S = 1.0
 NOT_SERVED = frozenset(
@@ -29,9 +29,10 @@
     Attributes
     ----------
     mean, low : float
-        Weighted mean, and the quantile that few calls are faster than.
+        Exponentially weighted mean, and the `LOW_QUANTILE` quantile.
     probed_at : float
-        When a call was last let through although it looked too late.
+        When a call was last admitted as a probe, although it was not expected
+        to finish in time.
     """
 
     mean: float
@@ -40,50 +41,52 @@
 
 
 class ServiceTimes:
-    """Estimates of the time from handing over to answer."""
+    """Estimates of the time from forwarding a call to its answer."""
 
     def __init__(self):
-        self.overall = PathTimes(FIRST_GUESS_S, 0.0)
+        self.overall = PathTimes(INITIAL_MEAN_S, 0.0)
         self.paths = {}
 
     def record(self, path_key, elapsed, answer):
-        """Learn from one ended call.
+        """Update the estimates from one ended call.
 
         Parameters
         ----------
         path_key : str
         elapsed : float
-            Seconds since it was handed over.
+            Seconds since the call was forwarded.
         answer : Answer or None
         """
         kind = answer.kind if answer is not None else ErrorKind.CALLER_LEFT
         if kind in NOT_SERVED:
             return
         times = self.paths.get(path_key)
-        # A call that was broken off took at least this long. Dropping it
-        # would hide a target so slow that every call expires: the estimate
-        # would stay low and each slot be spent on calls that can't finish.
+        # A call that was cut off took at least this long. If such calls were
+        # ignored and the target were so slow that every call expires, the
+        # estimate would stay low, and slots be spent on calls that can't
+        # finish.
         if kind is not None and elapsed <= (times or self.overall).mean:
             return
         if times is None:
             times = self.add(path_key, elapsed)
-        learn(times, elapsed)
-        learn(self.overall, elapsed)
+        update_estimates(times, elapsed)
+        update_estimates(self.overall, elapsed)
 
     def mean(self, path_key):
-        """Return the expected seconds of a path."""
+        """Return the expected service time of a path, in seconds."""
         times = self.paths.get(path_key)
         return times.mean if times else self.overall.mean
 
     def relative(self, path_key):
-        """Return the expected time of a path over that of all calls."""
-        return self.mean(path_key) / max(self.overall.mean, SHORTEST_S)
+        """Return the expected time of a path relative to that of all calls."""
+        return self.mean(path_key) / max(self.overall.mean, MIN_MEAN_S)
 
     def cannot_finish(self, path_key, remaining, now):
-        """Whether a call with this much life left can't finish any more.
+        """Whether a call can't finish in the remaining seconds.
 
-        One call a second passes all the same: without it a path whose
-        estimate was once too high would refuse all and never learn better.
+        One such call per `PROBE_PERIOD_S` is still admitted as a probe.
+        Without probes a path with too high an estimate would refuse every
+        call, and the estimate would never be corrected.
         """
         times = self.paths.get(path_key)
         if times is None or remaining >= times.low:
@@ -102,8 +105,8 @@
         return times
 
 
-def learn(times, elapsed):
-    """Move the estimates towards one observed time."""
+def update_estimates(times, elapsed):
+    """Move the estimates towards one observed service time."""
     times.mean += MEAN_WEIGHT * (elapsed - times.mean)
     step = QUANTILE_STEP * times.mean
     times.low += step * (LOW_QUANTILE - (elapsed < times.low))
