--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/scheme.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/scheme.py
@@ -1,4 +1,4 @@
-"""The border between admission control and its schemes."""
+"""Interface between admission control and its schemes."""
 
 from typing import Protocol
 
@@ -12,23 +12,23 @@
     size: int
 
     def push(self, waiting: WaitingCall) -> None:
-        """Put a call in line."""
+        """Add a call."""
 
     def discard(self, waiting: WaitingCall) -> None:
-        """Take a call out of the line, wherever it is."""
+        """Remove a call from any position."""
 
     def pop(self) -> WaitingCall | None:
-        """Take the next call."""
+        """Remove and return the next call, or None."""
 
 
 class Scheme(Protocol):
-    """One published or own way to decide who gets a slot.
+    """Decides which calls get a slot, and which are refused.
 
     Attributes
     ----------
     line : Line
     knows_lifetimes : bool
-        Whether calls that expired or can't finish are refused.
+        Whether calls that have expired or can't finish in time are refused.
     """
 
     queue: Queue
@@ -38,25 +38,25 @@
         """Return how many calls may run at once."""
 
     def refuses(self, call: Call, now: float) -> bool:
-        """Note an arrival; say whether it is refused for overload."""
+        """Record an arrival; return whether to refuse it for overload."""
 
     def enter(self, waiting: WaitingCall, now: float) -> None:
-        """Queue an arrived call, or refuse it or another for it."""
+        """Queue a call; may refuse it, or another one in its favour."""
 
     def recheck_time(self, call: Call, now: float) -> float:
-        """Return when `outwaited` is asked about a call in line."""
+        """Return when `recheck` is to be called for a queued call."""
 
     def recheck(self, waiting: WaitingCall, now: float) -> None:
-        """Refuse a call in line, or set how much longer it waits."""
+        """Refuse a queued call, or set its next `recheck_at`."""
 
     def next_call(self, now: float) -> WaitingCall | None:
-        """Take the next call to hand over; may refuse others."""
+        """Remove and return the next call to run; may refuse others."""
 
     def granted(self, waited: float, now: float) -> None:
-        """Note that a call got its slot after waiting some seconds."""
+        """Record that a call got its slot after waiting some seconds."""
 
     def finished(self, elapsed: float, answer: Answer | None, now: float) -> None:
-        """Note that a call ended some seconds after it was handed over."""
+        """Record that a call ended some seconds after it got its slot."""
 
     def level(self, now: float) -> int:
-        """Return the threshold that callers' daemons may refuse by."""
+        """Return the threshold by which callers' daemons may refuse early."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/static.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/static.py
@@ -1,4 +1,4 @@
-"""A fixed concurrency limit: the thread pool with an accept queue."""
+"""Static admission: a fixed limit, like a pool with an accept queue."""
 
 from papayabay_daemon._internal.admission.fifo import FifoScheme
 
@@ -6,19 +6,19 @@
 
 
 class Static(FifoScheme):
-    """Fixed limit, bounded queue, blind to class and lifetime.
+    """Fixed limit and bounded queue; ignores class and deadline.
 
-    The bulkhead of Nygard's "Release It!" as servlet containers ship it: a
-    pool of workers and an accept queue of 100.
+    The bulkhead of Nygard's "Release It!", as servlet containers implement
+    it: a pool of workers and an accept queue of 100.
     """
 
     enforces_deadlines = False
 
     def limit(self, now):
-        """Return the policy's limit, else the announced slots."""
+        """Return the policy's limit, or the announced slots if it has none."""
         inputs = self.control.inputs
         return inputs.settings.static_limit or max(1, inputs.slots)
 
     def capacity(self, now):
-        """Return the fixed length of the line."""
+        """Return the fixed length of the queue."""
         return QUEUE_LENGTH
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/ticket.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/ticket.py
@@ -1,8 +1,8 @@
-"""The right to hand a call to the target."""
+"""Slot tickets."""
 
 
 class SlotTicket:
-    """The right to hand one call to the target."""
+    """The right to forward one call to the target, occupying one slot."""
 
     __slots__ = ("call", "control", "done", "started")
 
@@ -13,7 +13,7 @@
         self.done = False
 
     def finish(self, answer):
-        """Give the slot back; None when the call was cancelled."""
+        """Release the slot; `answer` is None if the call was cancelled."""
         if self.done:
             self.control.counters.finished_again += 1
             return
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/waiting.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/waiting.py
@@ -1,4 +1,4 @@
-"""A call that waits for a slot."""
+"""Queued calls."""
 
 from asyncio import Future
 from dataclasses import dataclass
@@ -8,23 +8,24 @@
 
 @dataclass(slots=True, eq=False)
 class WaitingCall:
-    """One queued call.
+    """A call that waits for a slot.
 
     Attributes
     ----------
     call : Call
     future : asyncio.Future
-        Gets the ticket, or the `CallError` that the call ends with. The
-        error is a result, since an exception that nobody awaits any more
-        (its caller left) would be reported as lost by asyncio.
-    since : float
-        When it arrived.
-    until : float
-        When its scheme looks whether it waits on.
+        Its result is the ticket, or the `CallError` that the call ends with.
+        The error is not set as an exception: if the caller has left, nothing
+        awaits the future, and asyncio would log the exception as never
+        retrieved.
+    arrived_at : float
+        Time of arrival.
+    recheck_at : float
+        When the scheme next decides whether the call stays queued.
     number : int
-        Grows with each arrival.
+        Sequence number of the arrival.
     queued : bool
-        Whether it is still in line; queues skip those that are not.
+        Whether it is still queued; queues skip calls that are not.
     """
 
     call: Call
