--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/__init__.py
@@ -1,4 +1,4 @@
-"""How long a request may live, and its rank."""
+"""Deadlines, timeouts and ranks of requests."""
 
 from papayabay_daemon._internal.lifetime.deadlines import entry_deadline
 from papayabay_daemon._internal.lifetime.ranks import per_hop_rank, rank_of
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/deadlines.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/deadlines.py
@@ -1,17 +1,17 @@
-"""How long a request may live, set at its entry."""
+"""Deadline of a request, set at the daemon where it enters."""
 
 
-def entry_deadline(rule, wished_ms=None):
-    """Return the seconds that a request entering now may live.
+def entry_deadline(rule, requested_ms=None):
+    """Return the time until the deadline of a new request, in seconds.
 
     Parameters
     ----------
     rule : CallRule
-        Its `deadline_ms` is the longest life.
-    wished_ms : int or None
-        The caller's wish; it can only shorten the life. A wish of 0 or less
-        leaves no life at all.
+        Its `deadline_ms` is the longest time allowed.
+    requested_ms : int or None
+        Time requested by the caller; it can only shorten the rule's. With 0
+        or less, the request has expired on arrival.
     """
-    if wished_ms is None:
+    if requested_ms is None:
         return rule.deadline_ms / 1_000.0
-    return max(0, min(rule.deadline_ms, wished_ms)) / 1_000.0
+    return max(0, min(rule.deadline_ms, requested_ms)) / 1_000.0
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/ranks.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/ranks.py
@@ -1,4 +1,4 @@
-"""Ranks: the order of refusal among requests of one class."""
+"""Ranks: the order in which requests of one class are refused."""
 
 import xxhash
 
@@ -8,52 +8,54 @@
 
 
 def rank_of(key_or_request_id):
-    """Return the rank of a request, the same wherever it is worked out.
+    """Return the rank of a request, the same at every daemon.
 
-    Drawn from the caller's key where there is one, so that repeats of one
-    request stand where its first attempt stood.
+    It is a hash of the caller's idempotency key, if there is one, so that
+    retries of a request get the rank of its first attempt.
     """
     digest = xxhash.xxh3_64_intdigest(key_or_request_id.encode())
     return digest >> (HASH_BITS - RANK_BITS)
 
 
 def effective_priority(importance, rank, kept_share):
-    """Return class and rank by which a request stands in all lines.
+    """Return the class and rank that a request has in all queues.
 
-    In an overload that only critical requests can fill, all others would be
-    refused, hour after hour, whoever they are from. So the best ranks of
-    every class stand with the critical ones, spread over all their ranks;
-    as the rank is the same at every hop, they are let in whole.
+    If critical requests alone overload a service, all other requests would be
+    refused for as long as the overload lasts. So the requests with the best
+    ranks of each class are treated as critical, spread over all critical
+    ranks. Since the rank is the same at every hop, such a request is admitted
+    at all hops or none.
 
     Parameters
     ----------
     importance : Importance
-        By policy.
+        Class that the policy gives the request.
     rank : int
     kept_share : float
-        Part of the requests that is kept in this way.
+        Share of the requests to treat as critical.
     """
-    kept_ranks = kept_share * RANKS
-    if importance is Importance.CRITICAL or rank >= kept_ranks:
+    critical_ranks = kept_share * RANKS
+    if importance is Importance.CRITICAL or rank >= critical_ranks:
         return importance, rank
     return Importance.CRITICAL, int(rank / kept_share)
 
 
 def rank_in_account_class(importance, rank):
-    """Return the rank of a request whose account has a class of its own.
+    """Return the rank of a request whose account has an importance class.
 
-    That class goes first; among requests of equal account classes, the ranks
-    of more important paths are lower than those of all others.
+    The account's class takes precedence over that of the call path. Among
+    requests of the same account class, those of more important paths get
+    lower ranks.
 
     Parameters
     ----------
     importance : Importance
-        Of the path.
+        Class of the call path.
     rank : int
     """
     return (importance * RANKS + rank) // len(Importance)
 
 
 def per_hop_rank(random):
-    """Return a fresh rank; the baseline in which hops refuse alone."""
+    """Return a random rank; the baseline where hops refuse independently."""
     return int(random.random() * RANKS)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/timeouts.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/timeouts.py
@@ -1,24 +1,24 @@
-"""A timeout for the calls' hot path."""
+"""Timeout for the hot path of calls."""
 
 import asyncio
 
 
 class CallTimeout:
-    """Cancels what its block awaits when a time has passed.
+    """Context manager that cancels its block when a time has passed.
 
-    A cheaper `asyncio.timeout` that can't be rescheduled, to be used with
-    ``with`` in a task: each call has one at every hop.
+    A cheaper `asyncio.timeout` that can't be rescheduled, since each call
+    needs one at every hop. To be used with ``with``, inside a task.
 
     Parameters
     ----------
     seconds : float
-        0 or less ends the block at its first wait.
+        With 0 or less, the block is cancelled at its first wait.
 
     Raises
     ------
     TimeoutError
-        On leaving the block, when the time had passed. A cancellation from
-        elsewhere goes on as what it is, also when both come together.
+        On leaving the block, if the timeout cancelled it. A cancellation from
+        elsewhere propagates as `CancelledError`, even if both happen together.
     """
 
     __slots__ = ("cancelling", "expired", "seconds", "task", "timer")
@@ -28,7 +28,7 @@
         self.expired = False
 
     def __enter__(self):
-        """Start the time."""
+        """Start the timer."""
         self.task = asyncio.current_task()
         self.cancelling = self.task.cancelling()
         loop = asyncio.get_running_loop()
@@ -36,18 +36,18 @@
         return self
 
     def expire(self):
-        """End the block's wait."""
+        """Cancel the task."""
         self.expired = True
         self.task.cancel()
 
     def __exit__(self, kind, error, traceback):
-        """Turn the own cancellation into `TimeoutError`."""
+        """Convert the timeout's own cancellation to `TimeoutError`."""
         self.timer.cancel()
         if not self.expired:
             return
-        # More cancellations than before the block, less our own: somebody
-        # else wants the task ended too, and swallowing that would leave a
-        # call running for a caller who has left.
-        others = self.task.uncancel() > self.cancelling
-        if kind is asyncio.CancelledError and not others:
+        # If cancellations remain beyond those before the block, without the
+        # timeout's own one, the task was also cancelled from elsewhere.
+        # Suppressing that would keep a call running whose caller has left.
+        cancelled_elsewhere = self.task.uncancel() > self.cancelling
+        if kind is asyncio.CancelledError and not cancelled_elsewhere:
             raise TimeoutError from error
