--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/ranks.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifetime/ranks.py
@@ -21,10 +21,11 @@
     """Return the class and rank that a request has in all queues.
 
     If critical requests alone overload a service, all other requests would be
-    refused for as long as the overload lasts. So the requests with the best
-    ranks of each class are treated as critical, spread over all critical
-    ranks. Since the rank is the same at every hop, such a request is admitted
-    at all hops or none.
+    refused for as long as the overload lasts, whichever caller sent them. So
+    the requests with the best ranks of each class are treated as critical,
+    spread over all critical ranks. Since the rank is the same at every hop,
+    every hop treats the same requests as critical, and these are admitted
+    with all their calls.
 
     Parameters
     ----------
