--- a/tests/unit/daemon/admission_support.py
+++ b/tests/unit/daemon/admission_support.py
@@ -1,4 +1,4 @@
-"""An event loop in virtual time, and calls for the admission tests."""
+"""Event loop in virtual time, and helpers for the admission tests."""
 
 import asyncio
 import selectors
@@ -15,19 +15,19 @@
 
 
 class VirtualSelector(selectors.DefaultSelector):
-    """Instead of waiting, moves the clock on."""
+    """Selector that advances the clock instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError("nothing is left to wait for")
+            raise RuntimeError("no timer is left to wait for")
         self.now += timeout
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs timers in order without any real waiting."""
+    """Event loop that runs timers in order without real delays."""
 
     def __init__(self):
         self.virtual = VirtualSelector()
@@ -47,7 +47,7 @@
         loop.close()
 
 
-def virtually(method):
+def in_virtual_time(method):
     """Run an async test method in virtual time, with its clock."""
 
     def run(self):
@@ -58,7 +58,7 @@
 
 
 def make_inputs(clock, slots=2, announced_at=0.0, cold_start_ms=0, **values):
-    """Return inputs; `values` go to the policy's tables by their key."""
+    """Return inputs; `values` set policy fields by their name."""
     settings = {key: values[key] for key in values if key in Admission.model_fields}
     decisions = {key: values[key] for key in values if key in Decisions.model_fields}
     return AdmissionInputs(
@@ -77,7 +77,7 @@
 
 
 def make_call(
-    clock, importance=Importance.NORMAL, rank=0, depth=0, life=10.0, path="p"
+    clock, importance=Importance.NORMAL, rank=0, depth=0, lifetime=10.0, path="p"
 ):
     return Call(
         request_id=str(next(NUMBERS)),
@@ -89,7 +89,7 @@
         importance=importance,
         rank=rank,
         depth=depth,
-        expires_at=clock() + life,
+        expires_at=clock() + lifetime,
         credits=0,
         path_key=path,
     )
@@ -100,25 +100,25 @@
 
 
 async def settle():
-    """Let every task that is ready run."""
+    """Let all ready tasks run."""
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-async def outcome(control, call):
-    """Return the ticket, or the kind of refusal."""
+async def admit_or_kind(control, call):
+    """Return the ticket, or the error kind of the refusal."""
     try:
         return await control.admit(call)
     except CallError as error:
         return error.kind
 
 
-def start(control, call):
-    return asyncio.ensure_future(outcome(control, call))
+def start_admit(control, call):
+    return asyncio.ensure_future(admit_or_kind(control, call))
 
 
-async def teach(control, clock, seconds, calls=30, path="p"):
-    """Let the control see calls that take this long."""
+async def train(control, clock, seconds, calls=30, path="p"):
+    """Run calls of this duration, so that service times are estimated."""
     for _ in range(calls):
         ticket = await control.admit(make_call(clock, path=path))
         await asyncio.sleep(seconds)
--- a/tests/unit/daemon/test_admission_expiries.py
+++ b/tests/unit/daemon/test_admission_expiries.py
@@ -6,24 +6,24 @@
 
 
 class ExpiriesTest(unittest.TestCase):
-    def test_a_call_that_is_noted_again_is_looked_at_once(self):
-        """Calls were looked at sooner than they had been put off to.
+    def test_a_rescheduled_call_is_rechecked_once(self):
+        """Calls were rechecked before the time they were rescheduled for.
 
-        Sequence: many calls fall due together; each is noted again, and one
-        of these puts a compacted heap in the old one's place. Cause: the old
-        one was gone through to its end, and the new one kept its entries.
+        Many calls are due at once, and each is scheduled again. One of these
+        additions compacts the heap. The iteration continued with the old
+        heap, while the new one still held the entries of calls already due.
         """
         expiries = Expiries(lambda: None)
         for number in range(2 * SLACK):
             call = make_call(lambda: 0.0)
             waiting = WaitingCall(call, None, 0.0, 1.0, number, queued=True)
             expiries.add(waiting, 2 * SLACK)
-        looked_at = []
+        rechecked = []
         for waiting in expiries.pop_due(2.0):
-            looked_at.append(waiting.number)
+            rechecked.append(waiting.number)
             waiting.recheck_at = 5.0
             expiries.add(waiting, 0)
-        self.assertEqual(sorted(looked_at), list(range(2 * SLACK)))
+        self.assertEqual(sorted(rechecked), list(range(2 * SLACK)))
         left = sorted(recheck_at for recheck_at, _, _ in expiries.heap)
         self.assertEqual(left, [5.0] * (2 * SLACK))
 
--- a/tests/unit/daemon/test_admission_ranked.py
+++ b/tests/unit/daemon/test_admission_ranked.py
@@ -9,24 +9,24 @@
 from papayabay_daemon._internal.admission.waiting import WaitingCall
 from tests.unit.daemon.admission_support import (
     OK,
+    admit_or_kind,
+    in_virtual_time,
     make_call,
     make_control,
-    outcome,
     settle,
-    start,
-    teach,
-    virtually,
+    start_admit,
+    train,
 )
 
 CRITICAL, NORMAL, SHEDDABLE = Importance
 
 
-class OrderTests(unittest.TestCase):
-    @virtually
-    async def test_best_waits_least(self, clock):
+class PriorityTests(unittest.TestCase):
+    @in_virtual_time
+    async def test_best_call_is_served_first(self, clock):
         control = make_control(clock, slots=1)
         running = await control.admit(make_call(clock))
-        given = []
+        served_names = []
         calls = {
             "browse": make_call(clock, SHEDDABLE),
             "late rank": make_call(clock, rank=60_000),
@@ -35,57 +35,60 @@
             "order": make_call(clock, CRITICAL, rank=65_000),
         }
 
-        async def take_turn(name, call):
+        async def run_call(name, call):
             ticket = await control.admit(call)
-            given.append(name)
+            served_names.append(name)
             ticket.finish(OK)
 
-        tasks = [asyncio.create_task(take_turn(*item)) for item in calls.items()]
+        tasks = [asyncio.create_task(run_call(*item)) for item in calls.items()]
         await settle()
         running.finish(OK)
         await asyncio.gather(*tasks)
         expected = ["order", "deeper", "early rank", "late rank", "browse"]
-        self.assertEqual(given, expected)
+        self.assertEqual(served_names, expected)
 
-    @virtually
-    async def test_same_rank_passes_at_every_hop(self, clock):
-        passed = []
+    @in_virtual_time
+    async def test_same_ranks_are_admitted_at_every_hop(self, clock):
+        admitted_by_hop = []
         for hop in range(2):
             control = make_control(clock, slots=2, queue_max_ms=10)
-            await teach(control, clock, 0.01)
+            await train(control, clock, 0.01)
             random = Random(hop)
             ranks = list(range(0, 64_000, 4_000))
             random.shuffle(ranks)
-            held = [await control.admit(make_call(clock)) for _ in range(2)]
+            tickets = [await control.admit(make_call(clock)) for _ in range(2)]
             tasks = {
-                rank: start(control, make_call(clock, rank=rank)) for rank in ranks
+                rank: start_admit(control, make_call(clock, rank=rank))
+                for rank in ranks
             }
             await settle()
-            for ticket in held:
+            for ticket in tickets:
                 ticket.finish(OK)
             await settle()
-            won = {
+            admitted_ranks = {
                 rank
                 for rank, task in tasks.items()
                 if task.done() and task.result() is not ErrorKind.OVERLOADED
             }
-            passed.append(won)
+            admitted_by_hop.append(admitted_ranks)
             for task in tasks.values():
                 task.cancel()
-        self.assertEqual(passed[0], {0, 4_000})
-        self.assertEqual(passed[0], passed[1])
+        self.assertEqual(admitted_by_hop[0], {0, 4_000})
+        self.assertEqual(admitted_by_hop[0], admitted_by_hop[1])
 
-    @virtually
-    async def test_displaced_call_is_answered_at_once(self, clock):
+    @in_virtual_time
+    async def test_displaced_call_is_refused_at_once(self, clock):
         control = make_control(clock, slots=1, queue_max_ms=20)
-        await teach(control, clock, 0.01)
+        await train(control, clock, 0.01)
         await control.admit(make_call(clock))
-        worse = [start(control, make_call(clock, NORMAL, rank=9_000)) for _ in "12"]
+        worse = [
+            start_admit(control, make_call(clock, NORMAL, rank=9_000)) for _ in "12"
+        ]
         await settle()
-        at = clock()
-        better = start(control, make_call(clock, CRITICAL))
+        arrived_at = clock()
+        better = start_admit(control, make_call(clock, CRITICAL))
         await settle()
-        self.assertEqual(clock(), at)
+        self.assertEqual(clock(), arrived_at)
         self.assertEqual(worse[1].result(), ErrorKind.OVERLOADED)
         self.assertFalse(worse[0].done())
         self.assertFalse(better.done())
@@ -95,7 +98,7 @@
 
 
 class QueueTests(unittest.TestCase):
-    def test_agrees_with_a_sorted_list(self):
+    def test_matches_a_sorted_list(self):
         random = Random(5)
         queue, model, number = RankedQueue(), [], 0
         for _ in range(20_000):
@@ -124,109 +127,116 @@
             self.assertLessEqual(len(queue.worst), 2 * len(model) + 65)
 
 
-class FloorTests(unittest.TestCase):
-    @virtually
-    async def test_no_browsing_right_after_a_refused_order(self, clock):
-        """Guard the order of refusal across time.
+class HoldTests(unittest.TestCase):
+    @in_virtual_time
+    async def test_lower_classes_are_refused_after_a_critical_call(self, clock):
+        """A page was served just after an order was refused.
 
-        Symptom: a page is served just after an order was refused. Sequence:
-        the line is full of orders, one is refused, a slot comes free and
-        the line empties, then a browsing call arrives. Cause: comparing
-        only calls that wait at the same moment.
+        The queue was full of orders and one was refused. Then a slot became
+        free, the queue emptied, and a browsing call arrived. Only calls that
+        were queued at the same moment had been compared.
         """
         control = make_control(clock, slots=1, queue_max_ms=20, overload_hold_ms=200)
-        await teach(control, clock, 0.01)
+        await train(control, clock, 0.01)
         running = await control.admit(make_call(clock))
-        short = [make_call(clock, CRITICAL, life=0.05) for _ in range(3)]
-        orders = [start(control, call) for call in short]
+        short_lived_calls = [
+            make_call(clock, CRITICAL, lifetime=0.05) for _ in range(3)
+        ]
+        orders = [start_admit(control, call) for call in short_lived_calls]
         await settle()
         self.assertEqual(orders[2].result(), ErrorKind.OVERLOADED)
         running.finish(OK)
         for order in orders[:2]:
             (await order).finish(OK)
         for importance in (NORMAL, SHEDDABLE):
-            refused = await outcome(control, make_call(clock, importance))
+            refused = await admit_or_kind(control, make_call(clock, importance))
             self.assertEqual(refused, ErrorKind.OVERLOADED)
         (await control.admit(make_call(clock, CRITICAL))).finish(OK)
         await asyncio.sleep(0.201)
         (await control.admit(make_call(clock, SHEDDABLE))).finish(OK)
 
-    @virtually
-    async def test_worse_classes_in_line_go_with_a_refused_order(self, clock):
+    @in_virtual_time
+    async def test_queued_lower_classes_are_refused_with_a_critical_call(self, clock):
         control = make_control(clock, slots=1, queue_max_ms=40)
-        await teach(control, clock, 0.01)
+        await train(control, clock, 0.01)
         await control.admit(make_call(clock))
-        browse = start(control, make_call(clock, SHEDDABLE))
-        orders = [start(control, make_call(clock, CRITICAL)) for _ in range(2)]
+        browse = start_admit(control, make_call(clock, SHEDDABLE))
+        orders = [start_admit(control, make_call(clock, CRITICAL)) for _ in range(2)]
         await settle()
-        hasty = start(control, make_call(clock, CRITICAL, rank=65_000, life=0.02))
+        short_lived = start_admit(
+            control, make_call(clock, CRITICAL, rank=65_000, lifetime=0.02)
+        )
         await settle()
-        self.assertEqual(hasty.result(), ErrorKind.OVERLOADED)
+        self.assertEqual(short_lived.result(), ErrorKind.OVERLOADED)
         self.assertEqual(browse.result(), ErrorKind.OVERLOADED)
         self.assertFalse(any(order.done() for order in orders))
         control.stop_admitting()
         await settle()
 
 
-class LifetimeTests(unittest.TestCase):
-    @virtually
-    async def test_call_that_expires_in_line_is_answered_then(self, clock):
+class DeadlineTests(unittest.TestCase):
+    @in_virtual_time
+    async def test_call_that_expires_in_the_queue_is_refused_then(self, clock):
         control = make_control(clock, slots=1)
         await control.admit(make_call(clock))
         expected = clock() + 0.123
-        waiting = start(control, make_call(clock, life=0.123))
+        waiting = start_admit(control, make_call(clock, lifetime=0.123))
         self.assertEqual(await waiting, ErrorKind.EXPIRED_UNSENT)
         self.assertAlmostEqual(clock(), expected, places=3)
         self.assertEqual(control.counters.expired, 1)
 
-    @virtually
-    async def test_call_that_better_ones_overtake_is_refused_soon(self, clock):
-        """A look-up was held until its deadline, and nobody told its caller.
+    @in_virtual_time
+    async def test_overtaken_call_is_refused_before_its_deadline(self, clock):
+        """A lookup stayed queued until its deadline instead of being refused.
 
-        Symptom: one in ten requests of a middle class ended at its deadline,
-        unsent. Sequence: orders came as fast as the target served them; each
-        went ahead of the look-up, which was never alone in a full line.
-        Cause: the line's length was bounded, and the wait in it was not.
+        One in ten requests of the normal class expired unsent. Orders arrived
+        as fast as the target served them, and each was served before the
+        lookup, while the queue was never full. The length of the queue was
+        bounded, but not the wait in it.
         """
         control = make_control(clock, slots=1, queue_max_ms=150)
-        await teach(control, clock, 0.02)
+        await train(control, clock, 0.02)
         running = await control.admit(make_call(clock, CRITICAL))
-        asked_at = clock()
-        look_up = start(control, make_call(clock, life=0.6))
-        order = start(control, make_call(clock, CRITICAL, life=9))
-        while not look_up.done():
+        queued_at = clock()
+        lookup = start_admit(control, make_call(clock, lifetime=0.6))
+        order = start_admit(control, make_call(clock, CRITICAL, lifetime=9))
+        while not lookup.done():
             await asyncio.sleep(0.02)
             running.finish(OK)
             running = await order
-            order = start(control, make_call(clock, CRITICAL, life=9))
-        self.assertEqual(look_up.result(), ErrorKind.OVERLOADED)
-        self.assertLessEqual(clock() - asked_at, 0.2)
+            order = start_admit(control, make_call(clock, CRITICAL, lifetime=9))
+        self.assertEqual(lookup.result(), ErrorKind.OVERLOADED)
+        self.assertLessEqual(clock() - queued_at, 0.2)
         control.stop_admitting()
         await settle()
 
-    @virtually
-    async def test_call_that_cannot_finish_is_refused_but_probed(self, clock):
+    @in_virtual_time
+    async def test_call_that_cannot_finish_is_refused_after_a_probe(self, clock):
         control = make_control(clock)
-        await teach(control, clock, 0.1)
-        call = make_call(clock, life=0.01)
+        await train(control, clock, 0.1)
+        call = make_call(clock, lifetime=0.01)
         (await control.admit(call)).finish(OK)
-        self.assertEqual(await outcome(control, call), ErrorKind.LIFETIME_TOO_SHORT)
-        expired = make_call(clock, life=0)
-        self.assertEqual(await outcome(control, expired), ErrorKind.EXPIRED_UNSENT)
+        self.assertEqual(
+            await admit_or_kind(control, call), ErrorKind.LIFETIME_TOO_SHORT
+        )
+        expired = make_call(clock, lifetime=0)
+        self.assertEqual(
+            await admit_or_kind(control, expired), ErrorKind.EXPIRED_UNSENT
+        )
 
-    @virtually
-    async def test_lifetimes_can_be_switched_off(self, clock):
+    @in_virtual_time
+    async def test_deadlines_can_be_switched_off(self, clock):
         control = make_control(clock, deadlines=False)
-        (await control.admit(make_call(clock, life=-1))).finish(OK)
+        (await control.admit(make_call(clock, lifetime=-1))).finish(OK)
 
 
 class ThresholdTests(unittest.TestCase):
-    async def offer(self, control, clock, per_second, seconds, levels):
-        """Offer Poisson arrivals of calls that take 20 ms."""
+    async def send_load(self, control, clock, per_second, seconds, levels):
+        """Send Poisson arrivals of calls that take 20 ms."""
         random = Random(3)
         end = clock() + seconds
 
-        async def one():
+        async def run_call():
             call = make_call(clock, NORMAL, rank=random.randrange(65_536))
             try:
                 ticket = await control.admit(call)
@@ -237,24 +247,24 @@
 
         async with asyncio.TaskGroup() as group:
             while clock() < end:
-                group.create_task(one())
+                group.create_task(run_call())
                 levels.append(control.load("p").admit_level)
                 await asyncio.sleep(random.expovariate(per_second))
 
-    @virtually
-    async def test_all_pass_below_saturation(self, clock):
+    @in_virtual_time
+    async def test_all_calls_are_admitted_below_saturation(self, clock):
         levels = []
         control = make_control(clock, slots=10)
-        await self.offer(control, clock, 430, 10, levels)
+        await self.send_load(control, clock, 430, 10, levels)
         self.assertEqual(set(levels), {ADMIT_ALL})
         self.assertFalse(control.counters.refused)
 
-    @virtually
-    async def test_bursts_below_saturation_leave_it_open(self, clock):
+    @in_virtual_time
+    async def test_bursts_below_saturation_keep_the_threshold_open(self, clock):
         control = make_control(clock, slots=1)
-        await teach(control, clock, 0.01)
+        await train(control, clock, 0.01)
 
-        async def one():
+        async def run_call():
             ticket = await control.admit(make_call(clock, SHEDDABLE, rank=65_000))
             self.assertEqual(control.load("p").admit_level, ADMIT_ALL)
             await asyncio.sleep(0.01)
@@ -263,18 +273,18 @@
         async with asyncio.TaskGroup() as group:
             for _ in range(50):
                 for _ in range(14):
-                    group.create_task(one())
+                    group.create_task(run_call())
                 await asyncio.sleep(0.16)
 
-    @virtually
-    async def test_overload_lowers_it_and_its_end_reopens_it(self, clock):
+    @in_virtual_time
+    async def test_threshold_falls_in_overload_and_reopens_after_it(self, clock):
         levels = []
         control = make_control(clock, slots=10)
-        await self.offer(control, clock, 1_000, 3, levels)
+        await self.send_load(control, clock, 1_000, 3, levels)
         late = levels[len(levels) // 2 :]
         self.assertLess(sum(late) / len(late), ADMIT_ALL * 0.75)
         served = control.counters.admitted.total()
         self.assertGreater(served, 500 * 3 * 0.97)
         after = []
-        await self.offer(control, clock, 300, 1, after)
+        await self.send_load(control, clock, 300, 1, after)
         self.assertEqual(after[-1], ADMIT_ALL)
--- a/tests/unit/daemon/test_lifetime_entry.py
+++ b/tests/unit/daemon/test_lifetime_entry.py
@@ -12,19 +12,19 @@
 
 
 class DeadlineTests(unittest.TestCase):
-    def test_wish_only_shortens(self):
+    def test_requested_time_only_shortens_the_deadline(self):
         rule = SimpleNamespace(deadline_ms=2_000)
-        wishes = (None, 500, 10**12, 0, -5)
-        lives = [entry_deadline(rule, wish) for wish in wishes]
-        self.assertEqual(lives, [2.0, 0.5, 2.0, 0.0, 0.0])
+        requested = (None, 500, 10**12, 0, -5)
+        timeouts = [entry_deadline(rule, requested_ms) for requested_ms in requested]
+        self.assertEqual(timeouts, [2.0, 0.5, 2.0, 0.0, 0.0])
 
 
-class StandingTests(unittest.TestCase):
-    def test_a_part_of_every_class_stands_with_the_critical_ones(self):
-        """Look-ups were refused whole for as long as an overload lasted.
+class EffectivePriorityTests(unittest.TestCase):
+    def test_a_share_of_every_class_is_treated_as_critical(self):
+        """Most lookups were refused for as long as an overload lasted.
 
-        Orders alone could fill what was left of a service; each look-up was
-        of a lower class than all of them, and 5 in 100 were served.
+        Orders alone filled the remaining capacity of a service. Every lookup
+        was of a lower class than all orders, and only 5 in 100 were served.
         """
         kept = [
             effective_priority(Importance.SHEDDABLE, rank, 0.125)
@@ -34,23 +34,23 @@
         self.assertEqual(len(critical), RANKS // 8)
         self.assertEqual((min(critical), max(critical)), (0, RANKS - 8))
 
-    def test_nothing_else_changes(self):
+    def test_other_requests_keep_class_and_rank(self):
         for importance in Importance:
             for rank in (0, 1, RANKS - 1):
-                stands = effective_priority(importance, rank, 0.0)
-                self.assertEqual(stands, (importance, rank))
+                priority = effective_priority(importance, rank, 0.0)
+                self.assertEqual(priority, (importance, rank))
         critical = effective_priority(Importance.CRITICAL, 5, 0.5)
         self.assertEqual(critical, (Importance.CRITICAL, 5))
 
 
 class RankTests(unittest.TestCase):
-    def test_stable_and_even(self):
+    def test_ranks_are_stable_and_uniform(self):
         ranks = [rank_of(f"key{n}") for n in range(4_000)]
         self.assertEqual(ranks, [rank_of(f"key{n}") for n in range(4_000)])
         self.assertTrue(all(0 <= rank < RANKS for rank in ranks))
         self.assertAlmostEqual(sum(ranks) / 4_000 / RANKS, 0.5, delta=0.03)
 
-    def test_per_hop_rank_varies(self):
+    def test_per_hop_ranks_are_random(self):
         rng = random.Random(1)
         ranks = {per_hop_rank(rng) for _ in range(50)}
         self.assertGreater(len(ranks), 40)
--- a/tests/unit/daemon/test_lifetime_timeouts.py
+++ b/tests/unit/daemon/test_lifetime_timeouts.py
@@ -1,4 +1,4 @@
-"""The hot path's timeout, held against `asyncio.timeout`."""
+"""The call timeout behaves like `asyncio.timeout`."""
 
 import asyncio
 import unittest
@@ -8,8 +8,8 @@
 LONG_SECONDS = 60.0
 
 
-class LifeTimeoutTests(unittest.IsolatedAsyncioTestCase):
-    async def test_expiry_is_a_timeout_and_leaves_no_cancellation(self):
+class CallTimeoutTests(unittest.IsolatedAsyncioTestCase):
+    async def test_expiry_raises_timeout_and_leaves_no_cancellation(self):
         for seconds in (-1.0, 0.0, 0.01):
             with self.assertRaises(TimeoutError):
                 with CallTimeout(seconds):
@@ -17,7 +17,7 @@
             self.assertEqual(asyncio.current_task().cancelling(), 0)
             await asyncio.sleep(0)
 
-    async def test_value_and_error_pass(self):
+    async def test_normal_exit_and_error_stop_the_timer(self):
         with CallTimeout(LONG_SECONDS) as timeout:
             await asyncio.sleep(0)
         self.assertTrue(timeout.timer.cancelled())
@@ -26,24 +26,24 @@
                 raise KeyError
         self.assertTrue(timeout.timer.cancelled())
 
-    async def test_cancellation_from_elsewhere_stays_one(self):
+    async def test_cancellation_from_elsewhere_propagates(self):
         await self.check_cancelled(lambda timeout, task: task.cancel())
 
-    async def test_cancellation_together_with_expiry_stays_one(self):
-        """A caller who leaves as the life ends still ends the task.
+    async def test_cancellation_together_with_expiry_propagates(self):
+        """A task kept running after its caller had left at the deadline.
 
-        The task was cancelled by its caller's leaving and by the timeout in
-        the same turn of the loop. Were the one cancellation that the task
-        sees taken for the timeout's, the task would go on for nobody.
+        The caller's leaving and the timeout cancel the task in the same
+        iteration of the event loop, but the task sees one cancellation. If
+        that was attributed to the timeout, the task continued with no caller.
         """
 
-        def both(timeout, task):
+        def expire_and_cancel(timeout, task):
             timeout.expire()
             task.cancel()
 
-        await self.check_cancelled(both)
+        await self.check_cancelled(expire_and_cancel)
 
-    async def check_cancelled(self, end):
+    async def check_cancelled(self, cancel):
         started = asyncio.get_running_loop().create_future()
 
         async def work():
@@ -52,11 +52,11 @@
                 await asyncio.Event().wait()
 
         task = asyncio.create_task(work())
-        end(await started, task)
+        cancel(await started, task)
         with self.assertRaises(asyncio.CancelledError):
             await task
 
-    async def test_inner_expiry_is_not_the_outer_ones(self):
+    async def test_inner_expiry_does_not_expire_the_outer_timeout(self):
         with CallTimeout(LONG_SECONDS) as outer:
             with self.assertRaises(TimeoutError):
                 with CallTimeout(0.0):
--- a/tests/unit/daemon/test_slot_search.py
+++ b/tests/unit/daemon/test_slot_search.py
@@ -1,4 +1,4 @@
-"""Targets that slow down when they are nearly full, in virtual time."""
+"""Slot search with targets that slow down when nearly full."""
 
 import asyncio
 import random
@@ -7,43 +7,46 @@
 from papayabay_core.errors import CallError
 from tests.unit.daemon.admission_support import (
     OK,
+    in_virtual_time,
     make_call,
     make_control,
-    virtually,
 )
 
 SLOTS = 26
 KNEE = 0.95
+"""Share of the slots in use above which the target slows down."""
 SLOW_DOWN = 1.3
+"""Factor by which calls above the knee take longer."""
 CALL_S = 0.055
 LOAD = 1.6
-"""Arrivals over what the target finishes: a burst."""
+"""Arrival rate as a multiple of what the target can finish."""
 SECONDS = 20.0
 SEEDS = (1, 2, 3, 4)
 
 
 class KneeTest(unittest.TestCase):
-    """Load: a burst at the deepest service of a call graph.
+    """Overload at the deepest service of a call graph.
 
-    Its calls take 55 ms, half more or less; upstreams slow down by 1.3 beyond
-    95 in 100 of their slots. The figures are those of the services for which
-    this was built; with two slots left free a fifth more is finished.
+    Calls take 55 ms on average, up to half more or less, and 1.3 times as
+    long beyond 95 % of the slots. The figures are those of
+    the services the search was built for. With two slots left free, a fifth
+    more calls finish.
     """
 
     slots, call_s, seconds = SLOTS, CALL_S, SECONDS
 
-    async def flood(self, clock, slow_down, seed=5, **decisions):
-        """Return the calls finished a second in the second half."""
+    async def run_overload(self, clock, slow_down, seed=5, **decisions):
+        """Return the calls finished per second in the second half."""
         rng = random.Random(seed)
         control = make_control(clock, slots=self.slots, **decisions)
         running = finished = 0
-        begun = clock()
+        started_at = clock()
 
-        async def one():
+        async def run_call():
             nonlocal running, finished
             try:
                 ticket = await control.admit(
-                    make_call(clock, life=12 * self.call_s, depth=3)
+                    make_call(clock, lifetime=12 * self.call_s, depth=3)
                 )
             except CallError:
                 return
@@ -53,59 +56,58 @@
             await asyncio.sleep(work)
             running -= 1
             ticket.finish(OK)
-            finished += clock() - begun > self.seconds / 2
+            finished += clock() - started_at > self.seconds / 2
 
         tasks = []
-        while clock() - begun < self.seconds:
+        while clock() - started_at < self.seconds:
             await asyncio.sleep(rng.expovariate(LOAD * self.slots / self.call_s))
-            tasks.append(asyncio.ensure_future(one()))
+            tasks.append(asyncio.ensure_future(run_call()))
         await asyncio.gather(*tasks)
         control.close()
         return finished / (self.seconds / 2)
 
-    @virtually
-    async def test_slots_are_left_free_where_that_finishes_more(self, clock):
-        found = await self.flood(clock, SLOW_DOWN)
-        self.assertGreater(found, 0.9 * 24 / CALL_S)
+    @in_virtual_time
+    async def test_search_leaves_slots_free_if_throughput_is_higher(self, clock):
+        rate = await self.run_overload(clock, SLOW_DOWN)
+        self.assertGreater(rate, 0.9 * 24 / CALL_S)
 
-    @virtually
-    async def test_without_the_search_a_fifth_less_is_finished(self, clock):
-        full = await self.flood(clock, SLOW_DOWN, slot_search=False)
-        self.assertLess(full, 1.05 * SLOTS / CALL_S / SLOW_DOWN)
+    @in_virtual_time
+    async def test_throughput_is_a_fifth_lower_without_search(self, clock):
+        rate = await self.run_overload(clock, SLOW_DOWN, slot_search=False)
+        self.assertLess(rate, 1.05 * SLOTS / CALL_S / SLOW_DOWN)
 
-    @virtually
-    async def test_all_slots_are_used_where_none_slows_down(self, clock):
-        found = await self.flood(clock, 1.0)
-        self.assertGreater(found, 0.97 * SLOTS / CALL_S)
+    @in_virtual_time
+    async def test_all_slots_are_used_if_nothing_slows_down(self, clock):
+        rate = await self.run_overload(clock, 1.0)
+        self.assertGreater(rate, 0.97 * SLOTS / CALL_S)
 
 
 class SlowCallsTest(KneeTest):
-    """Load: the same at a service with few slots and long calls.
+    """The same overload at a service with few slots and long calls.
 
-    Fifteen slots of 240 ms, as of the service that most requests begin at in
-    the largest deployment known: 62 calls a second, of which a fixed window of
-    0.3 s held 19, less time than two calls take.
+    Fifteen slots with calls of 240 ms finish 62 calls per second, as the entry
+    service of most requests does in the largest known deployment. A fixed
+    trial of 0.3 s had counted only 19 calls, in less time than two calls take.
     """
 
     slots, call_s, seconds = 15, 0.24, 60.0
 
-    @virtually
-    async def test_slots_are_left_free_where_that_finishes_more(self, clock):
-        """A service was kept at slots that finished less than others did.
+    @in_virtual_time
+    async def test_search_leaves_slots_free_if_throughput_is_higher(self, clock):
+        """The search kept a share of the slots with a lower throughput.
 
-        Sequence: in an overload its daemon compares parts of its slots; what
-        is counted in a moment differs by chance. Cause: windows too short to
-        tell two parts apart.
+        The trials were so short that random variation of the counts exceeded
+        the difference between two shares.
         """
-        found = [await self.flood(clock, SLOW_DOWN, seed) for seed in SEEDS]
-        self.assertGreater(sum(found) / len(found), 0.985 * 14 / self.call_s)
-
-    @virtually
-    async def test_without_the_search_a_fifth_less_is_finished(self, clock):
-        full = await self.flood(clock, SLOW_DOWN, slot_search=False)
-        self.assertLess(full, 1.05 * self.slots / self.call_s / SLOW_DOWN)
-
-    @virtually
-    async def test_all_slots_are_used_where_none_slows_down(self, clock):
-        found = await self.flood(clock, 1.0)
-        self.assertGreater(found, 0.97 * self.slots / self.call_s)
+        rates = [await self.run_overload(clock, SLOW_DOWN, seed) for seed in SEEDS]
+        self.assertGreater(sum(rates) / len(rates), 0.985 * 14 / self.call_s)
+
+    @in_virtual_time
+    async def test_throughput_is_a_fifth_lower_without_search(self, clock):
+        rate = await self.run_overload(clock, SLOW_DOWN, slot_search=False)
+        self.assertLess(rate, 1.05 * self.slots / self.call_s / SLOW_DOWN)
+
+    @in_virtual_time
+    async def test_all_slots_are_used_if_nothing_slows_down(self, clock):
+        rate = await self.run_overload(clock, 1.0)
+        self.assertGreater(rate, 0.97 * self.slots / self.call_s)
