--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/service_times.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/service_times.py
@@ -65,8 +65,8 @@
         times = self.paths.get(path_key)
         # A call that was cut off took at least this long. If such calls were
         # ignored and the target were so slow that every call expires, the
-        # estimate would stay low, and slots be spent on calls that can't
-        # finish.
+        # estimate would stay low, and slots would be spent on calls that
+        # can't finish.
         if kind is not None and elapsed <= (times or self.overall).mean:
             return
         if times is None:
