--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
@@ -17,7 +17,7 @@
     encode_version,
     take_offer,
 )
-from papayabay_daemon._internal.membership.drawing import random_peers
+from papayabay_daemon._internal.membership.sampling import random_peers
 
 OFFERS_MAX = 64
 FIRST_PEERS = 5
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    state : KeeperState
+    state : ConfigurationState
     links : Links
     random : random.Random
 
@@ -59,7 +59,7 @@
 
     def note_offer(self, version, name):
         """Remember that a member holds a newer version."""
-        if version <= self.state.version.held.version:
+        if version <= self.state.version.latest.version:
             self.state.counts["stale_offers"] += 1
             return
         if name in self.offers or len(self.offers) < OFFERS_MAX:
@@ -91,14 +91,14 @@
             name = max(self.offers, key=self.offers.get)
             version = self.offers.pop(name)
             peer = self.state.members.get(name)
-            if peer is not None and version > self.state.version.held.version:
+            if peer is not None and version > self.state.version.latest.version:
                 return peer
         return None
 
     async def pull(self, peer):
         """Pull what a peer holds beyond the held version."""
         self.state.counts["pulls"] += 1
-        after = encode_version(self.state.version.held.version)
+        after = encode_version(self.state.version.latest.version)
         return await self.fetch(peer, TAIL_TOPIC, after)
 
     async def fetch(self, peer, topic, payload):
@@ -107,7 +107,7 @@
         An answer that brings nothing although the peer claims more is a
         failure; it would otherwise be asked for again without a pause.
         """
-        before = self.state.version.held.version
+        before = self.state.version.latest.version
         asked_at = self.state.clock()
         try:
             answer = await self.links.request(peer, topic, payload, PEER_SECONDS)
@@ -119,20 +119,20 @@
             if isinstance(error.__context__, UpgradeNeeded):
                 self.state.version.refuse(error)
         else:
-            if offer.version > self.state.version.held.version:
+            if offer.version > self.state.version.latest.version:
                 self.note_offer(offer.version, peer.name)
-            return self.state.version.held.version >= min(offer.version, before + 1)
+            return self.state.version.latest.version >= min(offer.version, before + 1)
         return False
 
     async def take_answer(self, peer, answer, asked_at):
         """Take the patches or the whole version that a peer sent."""
         offer, body = take_offer(answer)
         if body[:1] == TAIL:
-            self.state.take_patches(decode_patches(body[1:]))
+            self.state.apply_patches(decode_patches(body[1:]))
         elif body:
             content = await self.fetch_rest(peer, offer.version, body)
             whole = decode_configuration(content, "a peer's version")
-            self.state.take_whole(whole)
+            self.state.apply_full_version(whole)
         if self.state.loaded.is_set():
             self.state.receive_confirmation(offer, asked_at)
         return offer
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claimed.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/claimed.py
@@ -13,7 +13,7 @@
 )
 
 
-def take_all(call):
+def accept_all(call):
     """Let every call try for its claim."""
 
 
@@ -33,8 +33,8 @@
 
     Attributes
     ----------
-    would_take : callable
-        Asked before a first claim; see `IdempotencyGate.check_before_claim`.
+    precheck : callable
+        Asked before a first claim; see `IdempotencyGate.set_claim_precheck`.
     """
 
     def __init__(self, state, runner, repeats, holders, held, settling, release_wait):
@@ -45,14 +45,14 @@
         self.held = held
         self.settling = settling
         self.release_wait = release_wait
-        self.would_take = take_all
+        self.precheck = accept_all
 
     async def run(self, call, dispatch, may_forward):
         """Run a call with its caller's own key."""
         scope = (call.service, call.idempotency_key)
         digest = keys.call_digest(call)
         self.held.release_due()
-        entry = self.state.known.get(scope)
+        entry = self.state.key_table.get(scope)
         if entry is not None and scope in self.held.entries:
             if entry.digest == digest:
                 return await self.run_held(scope, entry, call, dispatch)
@@ -61,7 +61,7 @@
             self.held.release(scope, entry)
         if entry is not None and entry.state is KeyState.RELEASING:
             await self.wait_released(entry, call)
-            entry = self.state.known.get(scope)
+            entry = self.state.key_table.get(scope)
         if entry is not None:
             return await self.repeats.repeat(entry, call, digest, may_forward)
         holder = self.holders.get(scope) if may_forward else None
@@ -95,16 +95,16 @@
             STORE_UNAVAILABLE when the store has all the writes it takes.
         """
         self.state.check_open()
-        self.would_take(call)
+        self.precheck(call)
         try:
-            entry = self.state.known.add(scope, digest)
+            entry = self.state.key_table.add(scope, digest)
         except CallError:
             self.held.release_first()
             raise
         try:
             self.state.claims.admit()
         except CallError:
-            self.state.known.remove(scope, entry)
+            self.state.key_table.remove(scope, entry)
             raise
         return entry
 
@@ -143,13 +143,13 @@
             self.settling.release(scope, entry, claim)
             return CallError(ErrorKind.STORE_UNAVAILABLE, "the claim is unclear")
         except CallError as error:
-            self.state.known.remove(scope, entry)
+            self.state.key_table.remove(scope, entry)
             return error
         except asyncio.CancelledError:
             entry.state = KeyState.UNKNOWN
             raise
         if other is not None:
-            self.state.known.remove(scope, entry)
+            self.state.key_table.remove(scope, entry)
             return other
         return await self.attempt(scope, entry, claim, call, dispatch)
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
@@ -120,7 +120,7 @@
         daemon = self.daemon
         log.notice("leaving: no new work, draining")
         daemon.leaving = True
-        daemon.limit_keeper.is_leaving = True
+        daemon.limit_owner.is_leaving = True
         daemon.admission.stop_admitting()
         await daemon.links.announce_leaving()
         await asyncio.gather(self.end_entry(limits), daemon.membership.leave())
@@ -136,7 +136,7 @@
         if not daemon.settings.calls.infer_parents:
             await daemon.caller_door.stop_accepting()
         await asyncio.sleep(limits.leaving_grace_ms / 1000)
-        daemon.flow.refusing = True
+        daemon.flow.draining = True
 
     async def close_soon(self, supervision):
         """End and close all parts, if that takes no longer than it may.
