--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Who may repeat a call, and how often over the whole call tree."""
+"""Retry decisions, and the budgets that limit retries over the call tree."""
 
 from papayabay_daemon._internal.retries.arrivals import ArrivalBudget
 from papayabay_daemon._internal.retries.credits import CreditAccount
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
@@ -1,4 +1,4 @@
-"""Enforces the retry budget beside the target."""
+"""Enforces a service's retry budget at the daemons beside its targets."""
 
 from dataclasses import asdict
 from functools import partial
@@ -8,30 +8,30 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.importance import Importance
 from papayabay_core.utils.clock import now
-from papayabay_daemon._internal.retries.decision import KEPT_FROM_TARGET
+from papayabay_daemon._internal.retries.decision import NEVER_REACHED_TARGET
+from papayabay_daemon._internal.retries.exhaustion_log import ExhaustionLog
 from papayabay_daemon._internal.retries.sharers import SharerCount
-from papayabay_daemon._internal.retries.shortage import BudgetShortage
-from papayabay_daemon._internal.retries.window import RepeatWindow
+from papayabay_daemon._internal.retries.window import BudgetWindow
 
-COUNTED = ("first_attempts", "first_missed", "arrived", "refused")
-"""Counters: first attempts handed to the target, and those of them that never
-reached it; retries handed to it, and those refused."""
+COUNTER_NAMES = ("first_attempts", "first_missed", "arrived", "refused")
+"""First attempts forwarded to the target, and those of them that never reached
+it; retries forwarded to the target, and retries refused."""
 log = logbook.Logger("papayabay.retries")
 
 
 class ArrivalBudget:
-    """One daemon's part of a service's retry budget.
+    """One daemon's share of a service's retry budget.
 
-    Enforced at the callee: every arrival passes one daemon, and callees are
-    few.
+    The budget is enforced at the callee, because every call that arrives there
+    passes exactly one daemon, and a service has fewer targets than callers.
 
     Parameters
     ----------
     policy_source : callable
         Returns the `Policy` in force.
     sharers : callable
-        Takes a service; returns how many daemons there are beside its
-        targets, or were until lately.
+        Takes a service; returns how many daemons are beside its targets, or
+        were until recently.
     clock : callable
         Seconds.
 
@@ -46,76 +46,77 @@
         self.clock = clock
         self.service = ""
         self.window = None
-        self.counters = dict.fromkeys(COUNTED, 0)
+        self.counters = dict.fromkeys(COUNTER_NAMES, 0)
         self.arrived_by_class = dict.fromkeys(Importance, 0)
-        self.shortage = BudgetShortage(log)
+        self.exhaustion_log = ExhaustionLog(log)
 
     def check(self, call):
         """Admit a call on its way to the target.
 
         Returns
         -------
-        RepeatWindow or None
-            The window that the call's arrival or its end belongs to; None
-            without a budget.
+        BudgetWindow or None
+            The window to record the call's arrival and end in; None if policy
+            sets no budget.
 
         Raises
         ------
         CallError
-            RETRIES_SPENT for a retry beyond the budget.
+            RETRIES_SPENT for a retry if the budget is exhausted.
         """
         retries = self.policy_source().retries(call.service)
         if retries.window_ms is None:
             return None
-        window = self.window_of(call.service, retries.window_ms / 1_000)
-        # Counted without retries too: a daemon that leaves may have spent its
-        # part by then.
-        self.sharers.count(call.service, window.window_s)
+        window = self.window_for(call.service, retries.window_ms / 1_000)
+        # Updated for first attempts too: a daemon that leaves before the next
+        # retry may already have spent its share.
+        self.sharers.update(call.service, window.window_s)
         if not call.repeated:
             return window
-        sharers = self.sharers.most()
-        if window.allow(retries, sharers, call.own_class):
-            self.shortage.allowed(call.service, self.clock())
+        sharers = self.sharers.max_count()
+        if window.try_reserve(retries, sharers, call.own_class):
+            self.exhaustion_log.admitted(call.service, self.clock())
             return window
         self.counters["refused"] += 1
         tightest = partial(window.tightest, retries, sharers)
-        self.shortage.refused(call.service, self.clock(), tightest)
+        self.exhaustion_log.refused(call.service, self.clock(), tightest)
         raise CallError(ErrorKind.RETRIES_SPENT, "the service's budget is spent")
 
     def record_arrival(self, call, window):
-        """Count a call that has reached the target.
+        """Count a call that is forwarded to the target.
 
-        A first attempt that is refused on its way is a first attempt again at
-        the next daemon, and must not earn retries at both.
+        A first attempt that this daemon refuses is a first attempt again at
+        the next daemon. It is counted here and not in `check`, so that it
+        earns retries at one daemon only.
         """
         if window is None:
             return
         if call.repeated:
-            window.repeat_arrived()
+            window.record_retry()
             self.counters["arrived"] += 1
             self.arrived_by_class[call.own_class] += 1
         else:
-            window.first_arrived()
+            window.record_first_attempt()
             self.counters["first_attempts"] += 1
 
     def record_end(self, call, window, answer):
-        """Take back a first attempt that never reached the target.
+        """Uncount a first attempt that did not reach the target after all.
 
-        It is tried elsewhere as a first one. A retry stays counted, which
-        errs on the safe side.
+        It is sent to another upstream as a first attempt. A retry stays
+        counted: the budget is then underused rather than exceeded.
         """
-        if window is None or call.repeated or answer.kind not in KEPT_FROM_TARGET:
+        if window is None or call.repeated or answer.kind not in NEVER_REACHED_TARGET:
             return
-        window.first_missed()
+        window.undo_first_attempt()
         self.counters["first_missed"] += 1
 
     def release(self, call, window):
-        """Release the reservation of a call that won't reach the target."""
+        """Release the reservation of a retry that won't reach the target."""
         if window is not None and call.repeated:
             window.release()
 
     def totals(self):
-        """Return what was counted since the start, for metrics."""
+        """Return the counters since the start, for metrics."""
         by_class = {
             importance.name.lower(): count
             for importance, count in self.arrived_by_class.items()
@@ -123,27 +124,27 @@
         return {**self.counters, "arrived_by_class": by_class}
 
     def levels(self):
-        """Return the state of the budget, for metrics.
+        """Return the `BudgetUse` of the tightest window, for metrics.
 
         Returns
         -------
         dict of str to float
-            Empty without a budget.
+            Empty if policy sets no budget.
         """
         if self.window is None:
             return {}
         retries = self.policy_source().retries(self.service)
         if retries.window_ms is None:
             return {}
-        return asdict(self.window.tightest(retries, self.sharers.most()))
+        return asdict(self.window.tightest(retries, self.sharers.max_count()))
 
-    def window_of(self, service, window_s):
-        """Return the window of the service that the target offers now.
+    def window_for(self, service, window_s):
+        """Return the window that counts the current service's calls.
 
-        Another service, or another length of the window, begins an empty one.
+        A change of the service or of the window's length starts an empty one.
         """
         if self.service != service or self.window.window_s != window_s:
             self.service = service
-            self.window = RepeatWindow(self.clock, window_s)
-            self.sharers.forget()
+            self.window = BudgetWindow(self.clock, window_s)
+            self.sharers.reset()
         return self.window
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -17,7 +17,7 @@
 EXPIRED_STATUS = 504
 RETRY = "again"
 """Reason of a decision that lets another attempt follow."""
-KEPT_FROM_TARGET = frozenset(
+NEVER_REACHED_TARGET = frozenset(
     {
         ErrorKind.OVERLOADED,
         ErrorKind.LEAVING,
@@ -64,7 +64,7 @@
         """Note how an attempt at an upstream ended."""
         self.made += 1
         self.tried.add(name)
-        self.reached_target |= answer.kind not in KEPT_FROM_TARGET
+        self.reached_target |= answer.kind not in NEVER_REACHED_TARGET
         if answer.kind is ErrorKind.TARGET_REJECTED:
             self.rejected.add(name)
         if answer.effect is not Effect.NOT_RUN:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/shortage.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/exhaustion_log.py
@@ -1,11 +1,12 @@
-"""Logs when a service's retry budget is exhausted, and when it recovers."""
+"""Logs when a service's retry budget is exhausted or replenished."""
 
-QUIET_SECONDS = 2.0
-"""Time without a refused retry after which the budget counts as recovered. In
-an overload it is exhausted and replenished with each call."""
+RECOVERY_SECONDS = 2.0
+"""Time without a refused retry after which the budget counts as replenished.
+Under overload it alternates between exhausted and replenished with each call,
+which would log two lines each time."""
 
 
-class BudgetShortage:
+class ExhaustionLog:
     """Logs the first retry refused for an exhausted budget, and the recovery.
 
     Parameters
@@ -19,22 +20,22 @@
         self.refused_at = 0.0
 
     def refused(self, service, at, tightest):
-        """Note a refused repeat.
+        """Record a refused retry.
 
         Parameters
         ----------
         service : str
         at : float
-            Seconds on the account's clock.
+            Seconds on the budget's clock.
         tightest : callable
-            Returns the `BudgetUse` of the window with the least room; called
-            for the log line only.
+            Returns the `BudgetUse` of the window with the least budget left;
+            called for the log line only.
         """
         if self.refusals == 0:
             use = tightest()
             self.log.warning(
-                "the budget of repeats of {} is spent: {} let through of {:.1f}, "
-                "for {} first attempts; {} share it, counted for {:.1f} s",
+                "retry budget of {} exhausted: {} retries of {:.1f} allowed, for {} "
+                "first attempts and {} daemons, counted for {:.1f} s; refusing retries",
                 service,
                 use.repeats,
                 use.allowed,
@@ -45,12 +46,13 @@
         self.refusals += 1
         self.refused_at = at
 
-    def allowed(self, service, at):
-        """Note a repeat that was let through."""
-        if self.refusals == 0 or at - self.refused_at < QUIET_SECONDS:
+    def admitted(self, service, at):
+        """Record an admitted retry."""
+        if self.refusals == 0 or at - self.refused_at < RECOVERY_SECONDS:
             return
         self.log.notice(
-            "the budget of repeats of {} is there again, after {} refused",
+            "retry budget of {} replenished after {} refused retries; "
+            "admitting retries",
             service,
             self.refusals,
         )
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/sharers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/sharers.py
@@ -1,22 +1,23 @@
-"""How many daemons share a service's budget, or did within its window."""
+"""Counts the daemons that share a service's retry budget."""
 
 from collections import deque
 
-COUNT_SECONDS = 1.0
-"""How long a count is taken for true: counting looks at every member."""
+COUNT_INTERVAL_SECONDS = 1.0
+"""How long a count is reused: each count iterates over all members."""
 
 
 class SharerCount:
-    """The most daemons that were beside a service's targets in a window.
+    """The highest number of daemons beside a service's targets in a window.
 
-    Each takes an equal part of what the budget holds beside first attempts.
-    Who leaves has spent its part; were it divided anew by those who stay, the
-    last of four would add all of it to the three quarters that are gone.
+    Each daemon gets an equal share of the fixed part of the budget. A daemon
+    that leaves may have spent its share; if the rest divided the fixed part
+    among themselves again, the last of four daemons would add all of it to the
+    three quarters that are already spent.
 
     Parameters
     ----------
     sharers : callable
-        Takes a service; returns how many there are now.
+        Takes a service; returns how many daemons share its budget now.
     clock : callable
         Seconds.
     """
@@ -26,21 +27,21 @@
         self.clock = clock
         self.counts = deque()
 
-    def forget(self):
-        """Begin anew, for another service."""
+    def reset(self):
+        """Drop all counts, which belong to another service."""
         self.counts.clear()
 
-    def most(self):
-        """Return the most within the window that ends now; 1 at least."""
+    def max_count(self):
+        """Return the highest count in the window that ends now; at least 1."""
         return max((count for _, count in self.counts), default=1)
 
-    def count(self, service, window_s):
-        """Count those who are there now, unless that was done just before."""
+    def update(self, service, window_s):
+        """Count the daemons, unless the latest count is recent enough."""
         at = self.clock()
-        if self.counts and at - self.counts[-1][0] <= COUNT_SECONDS:
+        if self.counts and at - self.counts[-1][0] <= COUNT_INTERVAL_SECONDS:
             return
         self.counts.append((at, max(1, self.sharers(service))))
-        # A count holds until the next, so that of the one before the window
-        # the last moment may lie within it.
-        while at - self.counts[0][0] > window_s + COUNT_SECONDS:
+        # A count is valid until the next one, so the last count before the
+        # window may still be valid at the window's start.
+        while at - self.counts[0][0] > window_s + COUNT_INTERVAL_SECONDS:
             self.counts.popleft()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/window.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/window.py
@@ -1,4 +1,4 @@
-"""Retries of one service in a sliding window, within a part of a budget."""
+"""Counts calls in a sliding window, and limits retries to a budget."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -7,16 +7,16 @@
 from papayabay_core.importance import Importance
 
 SLICES = 20
-"""Slices that a window is counted in. A window may begin anywhere in its first
-slice, so that retries are rather counted too long than too short."""
-EARNED_EACH_TIME = 0.5
+"""Slices per window. A window may begin anywhere in its first slice, which is
+counted as a whole: retries may count for too long, but not too short."""
+EARNED_SHARE = 0.5
 """Part of the ratio that a first attempt earns in the windows that began
-before it, and in those that begin within a window after it. A half for each
-lets a process spend half a window's budget at once, and a new one earn half
-the ratio from its first call."""
-SPARE_SHARE = 0.1
-"""Part of the budget that is left unused, for daemons whose views of the
-members differ, and for calls of retried runs that were begun through an
+before it, and in those that begin within a window after it. With one half for
+each, a process may spend half a window's budget at once, and a new process
+earns half the ratio from its first call."""
+MARGIN_SHARE = 0.1
+"""Part of the budget that is left unused. It covers daemons whose views of the
+membership differ, and calls of retried runs that were started through an
 earlier process and can't be recognized."""
 CLASS_SHARES = {
     Importance.CRITICAL: 1.0,
@@ -25,28 +25,28 @@
 }
 """Part of the budget that each class may use, so that some is left for
 critical calls."""
-PACE_SLICES = 4
-"""Slices over which lesser classes are held to the rate at which the budget is
-replenished."""
+PACING_SLICES = 4
+"""Slices over which classes other than critical are limited to the rate at
+which the budget is replenished."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetUse:
-    """How a daemon's part of a budget stands in one window.
+    """Use of a daemon's share of a budget in one window.
 
     Attributes
     ----------
     repeats : int
-        Let through since the window began.
+        Retries admitted since the window began.
     allowed : float
-        Repeats that the part amounts to in it.
+        Retries that the share allows in the window.
     firsts : int
-        First attempts that it is reckoned by: in the window and in the one
+        First attempts that earned these: those in the window and in the one
         before it.
     sharers : int
-        Daemons that the fixed part of the budget is divided by.
+        Daemons that the fixed part of the budget is divided among.
     age_s : float
-        Seconds since the account began.
+        Seconds since counting began.
     """
 
     repeats: int
@@ -56,160 +56,165 @@
     age_s: float
 
 
-class RepeatWindow:
+class BudgetWindow:
     """First attempts and retries of one service that reach one target.
 
-    In any window, all daemons together may let a share of a service's requests
-    be retried, and a fixed number more; the requests are those of the window
-    or of the one before it. Each daemon keeps to an equal part of the fixed
-    number, and to that share of the mean of its first attempts in the window
-    and in the one before. The mean is no more than the larger of both and is
-    additive, so that the parts of all daemons, and of a process and its
-    successors, never exceed the whole.
+    The budget bounds the retries that all daemons together admit in any
+    window: a share of the service's requests, and a fixed number more. The
+    requests are those of the window or of the one before it, whichever are
+    more. Each daemon admits an equal part of the fixed number, and the share
+    of the mean of its first attempts in the window and in the one before. The
+    mean never exceeds the larger of the two, and means add up, so the shares
+    of all daemons, and of a process and its successors, never exceed the
+    budget.
 
     Parameters
     ----------
     clock : callable
         Seconds.
     window_s : float
-        Seconds that the budget is for.
+        Length of the budget's window, seconds.
 
     Attributes
     ----------
     pending : int
-        Repeats that were let through and have not reached the target. They
-        count in every window, as they may arrive in any.
+        Retries that were admitted and have not reached the target. They count
+        in every window, as they may arrive in any.
     """
 
     def __init__(self, clock, window_s):
         self.clock = clock
         self.window_s = window_s
-        self.begun_at = clock()
-        self.number = self.slice_number()
-        self.firsts = deque([0] * (2 * SLICES), 2 * SLICES)
-        self.repeats = deque([0] * (SLICES + 1), SLICES + 1)
+        self.started_at = clock()
+        self.current_slice = self.slice_number()
+        self.first_counts = deque([0] * (2 * SLICES), 2 * SLICES)
+        self.retry_counts = deque([0] * (SLICES + 1), SLICES + 1)
         self.pending = 0
 
     def slice_number(self):
-        """Return the number of the slice of now."""
+        """Return the number of the slice that the present time falls in."""
         return int(self.clock() * SLICES / self.window_s)
 
     def advance(self):
-        """Begin the slice of now where it is another one."""
+        """Start new slices up to the present time."""
         number = self.slice_number()
-        passed = [0] * min(number - self.number, 2 * SLICES)
-        self.number = number
-        self.firsts.extend(passed)
-        self.repeats.extend(passed)
+        empty = [0] * min(number - self.current_slice, 2 * SLICES)
+        self.current_slice = number
+        self.first_counts.extend(empty)
+        self.retry_counts.extend(empty)
 
-    def first_arrived(self):
-        """Note a first attempt that has reached the target."""
+    def record_first_attempt(self):
+        """Count a first attempt that is forwarded to the target."""
         self.advance()
-        self.firsts[-1] += 1
+        self.first_counts[-1] += 1
 
-    def first_missed(self):
-        """Take back a first attempt that has not reached the target after all.
+    def undo_first_attempt(self):
+        """Uncount a first attempt that did not reach the target after all.
 
-        Every window that now belongs to ends now, so that the slice of now is
-        in each that the attempt was counted in.
+        It may have been counted in an earlier slice. All windows that are
+        checked end with the current slice, so a decrement there corrects each
+        of them.
         """
         self.advance()
-        self.firsts[-1] -= 1
+        self.first_counts[-1] -= 1
 
-    def repeat_arrived(self):
-        """Note that a repeat that was let through has reached the target."""
+    def record_retry(self):
+        """Count a pending retry that is forwarded to the target."""
         self.advance()
         self.pending -= 1
-        self.repeats[-1] += 1
+        self.retry_counts[-1] += 1
 
     def release(self):
-        """Note that a repeat that was let through won't reach the target."""
+        """Release a pending retry that won't reach the target."""
         self.pending -= 1
 
-    def allow(self, retries, members, importance=Importance.CRITICAL):
-        """Return whether one more repeat fits; it is pending if so.
+    def try_reserve(self, retries, sharers, importance=Importance.CRITICAL):
+        """Reserve a retry; return False if the budget is exhausted.
+
+        A reserved retry is pending until it is recorded or released.
 
         Parameters
         ----------
         retries : Retries
-            With a `window_ms`.
-        members : int
+            Policy with a `window_ms`.
+        sharers : int
             Daemons that share the budget.
         importance : Importance
-            Less important calls may not spend all of it.
+            Classes other than critical may use only a part of the budget.
         """
         share = CLASS_SHARES[importance]
-        windows = self.windows(retries, members)
-        if min(share * allowed - repeats for repeats, allowed, _ in windows) < 1.0:
+        windows = self.windows(retries, sharers)
+        if min(share * allowed - used for used, allowed, _ in windows) < 1.0:
             return False
         _, allowed, _ = windows[-1]
-        if importance is not Importance.CRITICAL and self.outpaces(allowed):
+        if importance is not Importance.CRITICAL and self.exceeds_pace(allowed):
             return False
         self.pending += 1
         return True
 
-    def tightest(self, retries, members):
-        """Return how the budget stands in the window with the least room.
+    def tightest(self, retries, sharers):
+        """Return the use of the window with the least budget left.
 
         Returns
         -------
         BudgetUse
         """
-        windows = self.windows(retries, members)
+        windows = self.windows(retries, sharers)
         tightest = min(windows, key=lambda window: window[1] - window[0])
-        return BudgetUse(*tightest, members, self.clock() - self.begun_at)
+        return BudgetUse(*tightest, sharers, self.clock() - self.started_at)
 
-    def windows(self, retries, members):
-        """Return how the budget stands in each window that now belongs to.
+    def windows(self, retries, sharers):
+        """Return the use of the budget in each window that contains now.
 
-        Plain tuples, as it is asked for each repeat, also for those refused:
-        a busy daemon sees a thousand a second in an overload.
+        Returns plain tuples, because this runs for each retry, also for those
+        refused: a busy daemon sees a thousand a second in an overload.
 
         Parameters
         ----------
         retries : Retries
-        members : int
+        sharers : int
             Daemons that share the budget.
 
         Returns
         -------
         list of tuple
-            Repeats since the window began, repeats allowed in it, and first
-            attempts that it is reckoned by: those of its own slices and of a
-            window before them. From the window that begins now to the one
-            that began in the slice before the last whole window.
+            Retries since the window began, retries allowed in it, and the
+            first attempts that earned them: those in its own slices and in a
+            window before them. Ordered from the window that begins in the
+            current slice to the one that began `SLICES` slices earlier.
         """
         self.advance()
-        used = 1.0 - SPARE_SHARE
-        earned = used * EARNED_EACH_TIME * retries.ratio
-        fixed = used * self.fixed_part(retries, members)
-        repeats = accumulate(reversed(self.repeats))
-        firsts = islice(accumulate(reversed(self.firsts)), SLICES - 1, None)
+        usable = 1.0 - MARGIN_SHARE
+        earned = usable * EARNED_SHARE * retries.ratio
+        fixed = usable * self.fixed_part(retries, sharers)
+        retry_sums = accumulate(reversed(self.retry_counts))
+        first_sums = islice(accumulate(reversed(self.first_counts)), SLICES - 1, None)
         return [
-            (self.pending + since, earned * reckoned + fixed, reckoned)
-            for since, reckoned in zip(repeats, firsts, strict=True)
+            (self.pending + used, earned * firsts + fixed, firsts)
+            for used, firsts in zip(retry_sums, first_sums, strict=True)
         ]
 
-    def fixed_part(self, retries, members):
-        """Return the retries that need no first attempts to earn them.
+    def fixed_part(self, retries, sharers):
+        """Return the retries that no first attempts need to earn.
 
-        None for the length of a window after the start: the process before
-        may have spent them.
+        0 for the length of a window after the start: the previous process may
+        already have spent them.
         """
-        if self.clock() - self.begun_at < self.window_s:
+        if self.clock() - self.started_at < self.window_s:
             return 0.0
-        return retries.window_repeats / max(1, members)
+        return retries.window_repeats / max(1, sharers)
 
-    def outpaces(self, allowed):
-        """Return whether the budget is used faster than it is replenished.
+    def exceeds_pace(self, allowed):
+        """Return whether retries come faster than the budget is replenished.
 
-        When all upstreams of a service fail, the many calls of the least
-        class could otherwise spend a whole window's budget within a second.
+        When all upstreams of a service fail, the calls of the least important
+        class are so many that they would spend a window's budget in a second.
 
         Parameters
         ----------
         allowed : float
-            Repeats in the whole window that ends now.
+            Retries allowed in the whole window that ends now.
         """
-        latest = self.pending + sum(islice(reversed(self.repeats), PACE_SLICES))
-        return latest + 1 > max(1.0, allowed * PACE_SLICES / SLICES)
+        recent = islice(reversed(self.retry_counts), PACING_SLICES)
+        latest = self.pending + sum(recent)
+        return latest + 1 > max(1.0, allowed * PACING_SLICES / SLICES)
--- a/tests/unit/daemon/budget_support.py
+++ b/tests/unit/daemon/budget_support.py
@@ -46,7 +46,7 @@
         budget = ArrivalBudget(
             lambda: policy, lambda service: self.sharers, lambda: self.at
         )
-        budget.window_of(SERVICE, WINDOW_S)
+        budget.window_for(SERVICE, WINDOW_S)
         return budget
 
     def warm(self, **changes):
--- a/tests/unit/daemon/test_arrival_budget.py
+++ b/tests/unit/daemon/test_arrival_budget.py
@@ -10,7 +10,7 @@
 from papayabay_core.importance import Importance
 from papayabay_core.policy import Policy
 from papayabay_daemon._internal.retries import ArrivalBudget, Attempts
-from papayabay_daemon._internal.retries.window import RepeatWindow
+from papayabay_daemon._internal.retries.window import BudgetWindow
 from tests.unit.daemon.budget_support import SERVICE, WINDOW_S, BudgetCase, make_call
 
 
@@ -197,8 +197,8 @@
         self.sharers = 4
         budget = self.warm()
         self.firsts(budget, 1_000)
-        first = budget.window_of(SERVICE, WINDOW_S)
-        self.assertIsNot(budget.window_of(SERVICE, 2 * WINDOW_S), first)
+        first = budget.window_for(SERVICE, WINDOW_S)
+        self.assertIsNot(budget.window_for(SERVICE, 2 * WINDOW_S), first)
         self.assertFalse(self.allow(budget))
 
     def test_metrics_tell_what_the_account_rests_on(self):
@@ -231,8 +231,8 @@
             self.assertTrue(self.allow(budget))
         lines = [record.message for record in handler.records]
         self.assertEqual(len(lines), 2)
-        self.assertIn("10 let through of 10.8", lines[0])
-        self.assertIn("there again, after 89 refused", lines[1])
+        self.assertIn("10 retries of 10.8 allowed", lines[0])
+        self.assertIn("replenished after 89 refused retries", lines[1])
 
     def test_a_refusal_is_reckoned_once(self):
         """An overloaded daemon took twice the time it needs to refuse repeats.
@@ -242,7 +242,7 @@
         of them writes.
         """
         budget = self.warm()
-        with mock.patch.object(RepeatWindow, "windows", autospec=True) as windows:
+        with mock.patch.object(BudgetWindow, "windows", autospec=True) as windows:
             windows.return_value = [(0, 0.0, 0)]
             self.assertEqual(self.allowed(budget, 99), 0)
         self.assertEqual(windows.call_count, 99 + 1)
