--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -1,4 +1,4 @@
-"""Whether an attempt's end is followed by another attempt."""
+"""Decides whether a failed attempt is retried, and after what backoff."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,17 +6,17 @@
 from papayabay_core.calls import Answer
 from papayabay_core.errors import ERROR_ANSWERS, Effect, ErrorKind
 
-FIRST_PAUSE_SECONDS = 0.010
+FIRST_BACKOFF_SECONDS = 0.010
 """Longest backoff before the second attempt."""
-MAX_PAUSE_DOUBLINGS = 6
-MOST_REJECTED_DOUBLINGS = 1
-"""The same after a target rejected a call with slots free, where a longer
-backoff would relieve nobody."""
-LIFE_SHARE = 0.25
+MAX_DOUBLINGS = 6
+MAX_REJECTED_DOUBLINGS = 1
+"""The same after a target rejected a call with slots free: a longer backoff
+would not reduce its load."""
+MAX_LIFETIME_SHARE = 0.25
 """Largest part of the remaining lifetime that a backoff may take."""
 EXPIRED_STATUS = 504
 RETRY = "again"
-"""Reason of a decision that lets another attempt follow."""
+"""Reason of a decision to retry, as written to the decision log."""
 NEVER_REACHED_TARGET = frozenset(
     {
         ErrorKind.OVERLOADED,
@@ -36,21 +36,22 @@
 
 @dataclass(slots=True)
 class Attempts:
-    """What was tried for one call so far.
+    """The attempts made for one call so far.
 
     Attributes
     ----------
     made : int
+        Number of attempts.
     tried : set of str
-        Upstreams that had an attempt and get no other.
+        Upstreams that are excluded from further attempts.
     rejected : set of str
-        Those of them that turned it away with slots free.
+        Those of them that rejected the call with slots free.
     reached_target : bool
-        Whether any of them reached a target, be it to be turned away.
+        Whether any attempt reached a target, even if that rejected it.
     possibly_run : int
-        Attempts that a target may have begun to run.
+        Attempts that a target may have started to run.
     last_possibly_run : Answer or None
-        Of the latest of these.
+        Answer of the latest of these.
     """
 
     made: int = 0
@@ -61,7 +62,7 @@
     last_possibly_run: Answer | None = None
 
     def ended(self, name, answer):
-        """Note how an attempt at an upstream ended."""
+        """Record the answer of an attempt at an upstream."""
         self.made += 1
         self.tried.add(name)
         self.reached_target |= answer.kind not in NEVER_REACHED_TARGET
@@ -71,8 +72,8 @@
             self.possibly_run += 1
             self.last_possibly_run = answer
 
-    def forget_rejections(self):
-        """Admit the upstreams that rejected it as choices again.
+    def allow_rejected(self):
+        """Allow further attempts at the upstreams that rejected the call.
 
         A target that rejects calls with slots free does so at random: another
         attempt has the same chance there as the first.
@@ -80,23 +81,23 @@
         Returns
         -------
         bool
-            Whether there were any.
+            Whether there are any.
         """
-        forgotten, self.rejected = self.rejected, set()
-        self.tried -= forgotten
-        return bool(forgotten)
+        rejected, self.rejected = self.rejected, set()
+        self.tried -= rejected
+        return bool(rejected)
 
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """Whether another attempt follows.
+    """The decision whether to retry.
 
     Attributes
     ----------
     reason : str
-        Why none does; `RETRY` if one does.
+        Why the call is not retried; `RETRY` if it is.
     backoff_s : float
-        Seconds to wait before it.
+        Seconds to wait before the retry.
     """
 
     reason: str
@@ -104,12 +105,12 @@
 
     @property
     def should_retry(self):
-        """Whether another attempt follows."""
+        """Whether to retry."""
         return self.reason == RETRY
 
 
 class RetryRules:
-    """The rules for repeating attempts, switched by `decisions.retries`.
+    """Retry rules; `decisions.retries` of the policy selects their scheme.
 
     Parameters
     ----------
@@ -118,8 +119,8 @@
     ratio : RetryRatio
     random : random.Random
     has_other : callable
-        Takes a call and the names already tried; says whether another
-        upstream would take it.
+        Takes a call and the names already tried; returns whether another
+        upstream is expected to accept the call.
     """
 
     def __init__(self, policy_source, ratio, random, has_other):
@@ -130,26 +131,26 @@
         self.stops = Counter()
 
     def record_first_attempt(self, call):
-        """Note the first attempt of a call; it earns toward the ratio.
+        """Replenish the retry ratio for a call's first attempt.
 
-        Calls of a run that was itself a repeat earn nothing: had the run not
-        been repeated, they would not come.
+        Calls made by a retried run are not counted: without the retry, they
+        would not have been made.
         """
         if not call.repeated:
             self.ratio.record_first_attempt(call.service)
 
     def decide(self, call, answer, attempts, account):
-        """Decide whether another attempt follows, and pay for it.
+        """Decide whether to retry, and spend a credit on the retry.
 
         Parameters
         ----------
         call : Call
         answer : Answer
-            How the attempt ended; a `CallError` of the link is turned into
-            an answer first. Its `exhausted` is set when it is to be passed
-            on and no daemon above may repeat the call.
+            Of the latest attempt; the caller has turned a `CallError` into an
+            answer. Its `exhausted` is set if no daemon above may retry the
+            call.
         attempts : Attempts
-            Made so far, this one too.
+            Made so far, including the latest.
         account : CreditAccount
             Of the call at this daemon; one credit is spent on a retry.
 
@@ -161,22 +162,24 @@
         if call.attempts and attempts.possibly_run >= call.attempts:
             reason = "attempts"
         elif decisions.retries == "per-hop":
-            if may_repeat_per_hop(call, answer, attempts.made, decisions):
+            if may_retry_per_hop(call, answer, attempts.made, decisions):
                 return RetryDecision(RETRY, self.backoff_s(call, attempts.made))
             return RetryDecision("per-hop")
         else:
-            reason = self.objection(call, answer, account, attempts)
+            reason = self.reason_against(call, answer, account, attempts)
         if not reason:
             rejected = answer.kind is ErrorKind.TARGET_REJECTED
-            most = MOST_REJECTED_DOUBLINGS if rejected else MAX_PAUSE_DOUBLINGS
-            return RetryDecision(RETRY, self.backoff_s(call, attempts.made, most))
+            max_doublings = MAX_REJECTED_DOUBLINGS if rejected else MAX_DOUBLINGS
+            return RetryDecision(
+                RETRY, self.backoff_s(call, attempts.made, max_doublings)
+            )
         self.stops[reason] += 1
         answer.exhausted = is_exhausted(answer, attempts.made)
         return RetryDecision(reason)
 
-    def objection(self, call, answer, account, attempts):
-        """Return why not to retry, or "" after paying for a retry."""
-        if answer.kind is None and not failed_by_itself(answer):
+    def reason_against(self, call, answer, account, attempts):
+        """Return why not to retry, or "" after spending a credit."""
+        if answer.kind is None and not failed_at_target(answer):
             return "answered"
         if answer.kind is not None and not ERROR_ANSWERS[answer.kind].elsewhere:
             return "final"
@@ -188,7 +191,7 @@
             return "body-streamed"
         if call.remaining() <= 0.0:
             return "expired"
-        if not self.has_another(call, attempts):
+        if not self.has_other_upstream(call, attempts):
             return "no-other"
         # Checked before the ratio spends a token that no retry would use.
         if account.balance < 1:
@@ -198,26 +201,29 @@
         account.spend()
         return ""
 
-    def has_another(self, call, attempts):
-        """Whether an upstream would take a further attempt."""
+    def has_other_upstream(self, call, attempts):
+        """Return whether an upstream is expected to accept a retry."""
         if self.has_other(call, attempts.tried):
             return True
-        again = attempts.forget_rejections()
-        return again and self.has_other(call, attempts.tried)
-
-    def backoff_s(self, call, attempts, most_doublings=MAX_PAUSE_DOUBLINGS):
-        """Return a fully jittered pause, a small share of the life left."""
-        doublings = min(attempts - 1, most_doublings)
-        longest = FIRST_PAUSE_SECONDS * 2**doublings
-        bounded = min(longest, max(0.0, call.remaining()) * LIFE_SHARE)
+        any_rejected = attempts.allow_rejected()
+        return any_rejected and self.has_other(call, attempts.tried)
+
+    def backoff_s(self, call, attempts, max_doublings=MAX_DOUBLINGS):
+        """Return an exponential backoff with full jitter.
+
+        It is bounded by a share of the remaining lifetime.
+        """
+        doublings = min(attempts - 1, max_doublings)
+        longest = FIRST_BACKOFF_SECONDS * 2**doublings
+        bounded = min(longest, max(0.0, call.remaining()) * MAX_LIFETIME_SHARE)
         return self.random.uniform(0.0, bounded)
 
 
-def may_repeat_per_hop(call, answer, attempts, decisions):
-    """Return whether the baseline repeats, as plain relays do at each hop.
+def may_retry_per_hop(call, answer, attempts, decisions):
+    """Return whether the per-hop scheme retries, as plain proxies do.
 
-    It promises nothing about the number of retries over the chain, but
-    never runs again what must run at most once.
+    This baseline does not bound the number of retries over a call chain, but
+    never retries a call that must run at most once.
     """
     return (
         attempts <= decisions.per_hop_retries
@@ -229,28 +235,29 @@
     )
 
 
-def failed_by_itself(answer):
-    """Return whether a target failed, and not one that it called.
+def failed_at_target(answer):
+    """Return whether the target itself failed, and not a service it called.
 
-    An upstream may fail a part of its calls while it looks healthy; another
-    one would have served them. A failure that comes from further down would
-    only come again, with all the work between.
+    An upstream may fail a part of its calls while it looks healthy, and
+    another upstream would serve them. A failure from further down would only
+    recur, and repeat all the work in between.
     """
     expired = answer.status == EXPIRED_STATUS
     return answer.failed and not (expired or answer.exhausted)
 
 
 def is_unsafe(call, answer):
-    """Return whether running the call again might double its effect."""
+    """Return whether a retry might double the call's effect."""
     return answer.effect is not Effect.NOT_RUN and not call.idempotent
 
 
 def is_exhausted(answer, attempts):
-    """Return whether nobody above may repeat the call.
+    """Return whether no daemon above may retry the call.
 
-    A refusal for overload belongs to the lowest daemon with another way.
-    Were it repeated above as well, each level would multiply the load of
-    the overloaded service; one would see more retries the deeper the chain.
+    A call refused for overload is retried only by the lowest daemon that has
+    another upstream. If daemons above retried it too, each level would
+    multiply the load of the overloaded service: the deeper the chain, the more
+    retries.
     """
     if answer.kind is None:
         return answer.exhausted
