--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/credits.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/credits.py
@@ -1,17 +1,17 @@
-"""The retry credits that one call holds and splits among its own calls."""
+"""Accounts for the retry credits of a call and of its attempts."""
 
 
 class CreditAccount:
     """Retry credits of one call at one daemon.
 
-    A credit is always in one place: held here, granted to an attempt, or
-    spent. Granting takes it out, so the sum over a request's tree never
-    exceeds what its entry minted, without any shared state.
+    A credit is always in one place: in this balance, granted to an attempt, or
+    spent. Granting debits the balance, so the sum over a request's call tree
+    never exceeds what its entry minted, without any shared state.
 
     Parameters
     ----------
     balance : int
-        Credits that came with the call, or were minted at its entry.
+        Credits received with the call, or minted at its entry.
     """
 
     __slots__ = ("closed", "balance", "spent")
@@ -22,15 +22,15 @@
         self.closed = False
 
     def grant(self):
-        """Take out and return the credits that go with one attempt.
+        """Debit and return the credits that are sent with one attempt.
 
-        The attempt gets the larger half. The kept half stays here for a
-        repeat when the attempt's answer, and the credits with it, are lost.
-        A last credit goes along, because the lowest daemon repeats the
-        least work: of 3 credits the entry and the first hop keep one each
-        and the third reaches the failing hop however deep the chain is.
-        Calls made one after another all get the larger half, since unused
-        credits come back in between; of parallel ones, the later get less.
+        The attempt gets the larger half. The rest stays here for a retry in
+        case the attempt's answer, and its credits with it, are lost. A last
+        credit is granted, because a retry at the lowest daemon repeats the
+        least work: of 3 credits the entry and the first hop keep one each, and
+        the third reaches the failing hop however deep the chain is. Sequential
+        calls each get the larger half, since unused credits are refunded in
+        between; of parallel calls, later ones get less.
 
         Returns
         -------
@@ -41,24 +41,24 @@
         return granted
 
     def refund(self, unused):
-        """Take back what an answered attempt did not spend.
+        """Credit what an answered attempt did not spend.
 
         Parameters
         ----------
         unused : int
-            What its answer says is left, but never more than was granted:
-            a peer that returns more would raise the whole request's bound.
-            Nothing is given back for a lost answer.
+            Credits left according to the answer. The caller of this method
+            bounds them by the grant: a peer that returned more would raise the
+            whole request's limit. Nothing is refunded for a lost answer.
         """
         if self.closed:
-            # The rest was already sent to the caller with this call's own
-            # answer. A late answer's credits would be held by nobody who
-            # can use them; a repeat of the key would then find too many.
+            # The balance was already returned with this call's own answer.
+            # No retry of this call could use a late refund; a caller's retry
+            # with the same key would find too many credits.
             return
         self.balance += max(0, unused)
 
     def spend(self):
-        """Spend one credit on a repeat; return False when none is held."""
+        """Spend one credit on a retry; return False if the balance is 0."""
         if self.balance < 1:
             return False
         self.balance -= 1
@@ -66,6 +66,6 @@
         return True
 
     def close(self):
-        """End the account and return the unused credits for the answer."""
+        """Close the account and return the unused credits for the answer."""
         unused, self.balance, self.closed = self.balance, 0, True
         return unused
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/ratio.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/ratio.py
@@ -1,15 +1,17 @@
-"""The share of calls that may be repeats, per service."""
+"""Limits this daemon's retries to a share of its first attempts."""
 
 from papayabay_core.utils.clock import now
 
 BURST_TOKENS = 10.0
+"""Tokens up to which first attempts fill a bucket."""
 FLOOR_TOKENS = 3.0
+"""Tokens up to which a bucket is refilled over time."""
 FLOOR_TOKENS_PER_SECOND = 0.5
 MAX_SERVICES = 4_096
 
 
 class RetryBucket:
-    """Tokens for the repeats of one service."""
+    """Token bucket for the retries of one service."""
 
     __slots__ = ("refilled_at", "tokens")
 
@@ -19,12 +21,12 @@
 
 
 class RetryRatio:
-    """Keeps this daemon's repeats to a small share of its first attempts.
+    """One token bucket per service, replenished by first attempts.
 
-    Each first attempt earns `ratio` of a token. A slow refill over time, up
-    to a small floor, lets services with few calls repeat one as well. Where
-    policy sets a budget for a window, the callees' daemons keep to it
-    together (`ArrivalBudget`), and nothing is counted here.
+    Each first attempt earns `ratio` of a token. A slow refill over time, up to
+    a small floor, lets services with few calls retry too. If policy sets a
+    retry budget for a window, the callees' daemons enforce it together
+    (`ArrivalBudget`), and nothing is limited here.
 
     Parameters
     ----------
@@ -42,7 +44,7 @@
         self.refused = 0
 
     def record_first_attempt(self, service):
-        """Note the first attempt of a call."""
+        """Earn part of a token for the first attempt of a call."""
         retries = self.policy_source().retries(service)
         if retries.window_ms is not None:
             return
@@ -51,7 +53,7 @@
         bucket.tokens = min(max(BURST_TOKENS, bucket.tokens), bucket.tokens + earned)
 
     def allow(self, service):
-        """Spend a token for a repeat; return False when there is none."""
+        """Spend a token for a retry; return False if there is none."""
         if self.policy_source().retries(service).window_ms is not None:
             return True
         bucket = self.bucket(service)
@@ -64,7 +66,7 @@
         return True
 
     def refill(self, bucket):
-        """Add what time has earned, up to the floor."""
+        """Add the tokens earned by time, up to `FLOOR_TOKENS`."""
         at = self.clock()
         earned = (at - bucket.refilled_at) * FLOOR_TOKENS_PER_SECOND
         bucket.refilled_at = at
@@ -72,7 +74,7 @@
             bucket.tokens = min(FLOOR_TOKENS, bucket.tokens + earned)
 
     def bucket(self, service):
-        """Return the bucket of a service; beyond the bound the oldest goes."""
+        """Return the bucket of a service, evicting the oldest if needed."""
         found = self.buckets.get(service)
         if found is None:
             if len(self.buckets) >= MAX_SERVICES:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/repeats.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/repeats.py
@@ -1,4 +1,4 @@
-"""Debits for repeats that targets and callers make by themselves."""
+"""Debits retries that targets and callers make by themselves."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -8,8 +8,9 @@
 from papayabay_daemon._internal.retries.credits import CreditAccount
 
 MAX_CALLS = 1_024
+"""Outgoing calls that are remembered per parent call."""
 MAX_KEYS = 20_000
-KEY_LIFE_SECONDS = 600.0
+KEY_TTL_SECONDS = 600.0
 
 
 def debit(account, detail):
@@ -18,22 +19,22 @@
     Raises
     ------
     CallError
-        RETRIES_SPENT when it holds none.
+        RETRIES_SPENT if its balance is 0.
     """
     if not account.spend():
         raise CallError(ErrorKind.RETRIES_SPENT, detail)
 
 
 class RetryDetector:
-    """Finds a target's repeats among the outgoing calls of one live call.
+    """Detects a target's own retries among the outgoing calls of one call.
 
-    One object per parent call, dropped with it. Only the latest `MAX_CALLS`
-    distinct calls are remembered.
+    There is one detector per parent call. It remembers the latest `MAX_CALLS`
+    distinct outgoing calls.
 
     Parameters
     ----------
     account : CreditAccount
-        The parent call's.
+        Of the parent call.
     """
 
     __slots__ = ("account", "seen")
@@ -43,7 +44,7 @@
         self.seen = OrderedDict()
 
     def record(self, service, method, path, body_digest):
-        """Note an outgoing call; debit it when it is a repeat.
+        """Record an outgoing call, and debit it if it is a retry.
 
         Parameters
         ----------
@@ -54,7 +55,7 @@
         Raises
         ------
         CallError
-            RETRIES_SPENT when a repeat finds no credit.
+            RETRIES_SPENT for a retry if the balance is 0.
         """
         fingerprint = hash((service, method, path, body_digest))
         if fingerprint in self.seen:
@@ -68,18 +69,18 @@
 
 @dataclass(slots=True)
 class KeyAccount:
-    """The account of a request key and when it is forgotten."""
+    """The account of a request key, and when it expires."""
 
     account: CreditAccount
     expires_at: float
 
 
 class KeyAccounts:
-    """Accounts by request key, so that a caller's repeat mints nothing.
+    """Credit accounts by request key; a caller's retry mints no credits.
 
-    Keys are forgotten `KEY_LIFE_SECONDS` after their first request, or as
-    the oldest beyond `MAX_KEYS`. The account isn't closed at the entry, as
-    a repeat goes on with what is left.
+    Keys expire `KEY_TTL_SECONDS` after their first request; beyond `MAX_KEYS`,
+    the oldest is evicted. Accounts are not closed when a request ends, because
+    a retry by the caller continues with the remaining credits.
     """
 
     def __init__(self, clock=now):
@@ -95,14 +96,14 @@
         ----------
         service : str
         key : str
-            Request key; without one an account of its own is minted.
+            Request key; if empty, the request gets an account of its own.
         minted : int
             Credits of a first request.
 
         Raises
         ------
         CallError
-            RETRIES_SPENT when a repeat finds no credit.
+            RETRIES_SPENT for a caller's retry if the balance is 0.
         """
         if not key:
             return CreditAccount(minted)
@@ -119,15 +120,15 @@
         return known.account
 
     def mint(self, key, minted):
-        """Return a new account, remembered under its key."""
+        """Open an account under a key and return it."""
         account = CreditAccount(minted)
-        self.keys[key] = KeyAccount(account, self.clock() + KEY_LIFE_SECONDS)
+        self.keys[key] = KeyAccount(account, self.clock() + KEY_TTL_SECONDS)
         if len(self.keys) > MAX_KEYS:
             self.keys.popitem(last=False)
         return account
 
     def expire(self):
-        """Forget keys whose time is up; they stand in order of age."""
+        """Remove expired keys; the keys are in order of age."""
         at = self.clock()
         while self.keys and next(iter(self.keys.values())).expires_at <= at:
             self.keys.popitem(last=False)
