--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which upstream takes each attempt of a call."""
+"""Chooses the upstream for each attempt of a call."""
 
 from papayabay_daemon._internal.routing.strategies import RoundRobin, TwoChoices
 from papayabay_daemon._internal.routing.table import RoutingTable
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/subset.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/subset.py
@@ -1,4 +1,4 @@
-"""The few upstreams of a service that one daemon keeps links to."""
+"""Chooses the upstreams of a service that one daemon keeps links to."""
 
 from itertools import islice
 
@@ -6,18 +6,18 @@
 
 
 def rendezvous_weight(daemon, upstream):
-    """Return the weight of a pair; the same wherever it is worked out."""
+    """Return the rendezvous hash of a pair, the same on all daemons."""
     return xxhash.xxh3_64_intdigest(f"{daemon}\0{upstream}".encode())
 
 
 def choose_subset(local, upstreams, size, prefer_own_domain):
-    """Return this daemon's upstreams of a service, and a reserve.
+    """Return this daemon's subset of a service's upstreams, and a reserve.
 
     Rendezvous hashing spreads the daemons evenly over the upstreams, and a
-    member that comes or goes changes few subsets by one entry. With own
-    domain preferred, half of the subset comes from the local failure
-    domain. The rest comes from others, so that a lost domain never takes a
-    daemon's whole subset with it.
+    member that joins or leaves changes few subsets, each by one entry. If the
+    own domain is preferred, half of the subset is in the local failure domain.
+    The other half is not, so that the loss of a domain never takes a daemon's
+    whole subset with it.
 
     Parameters
     ----------
@@ -29,8 +29,8 @@
     Returns
     -------
     tuple of (list of Member, list of Member)
-        The subset and the next `size` members, for when the subset has
-        none left to take an attempt.
+        The subset, and the next `size` members, which are used when no member
+        of the subset is available for an attempt.
     """
     ranked = sorted(
         upstreams,
@@ -46,7 +46,7 @@
 
 
 def mix_domains(local, ranked, size):
-    """Return half from the own domain, half from others, filled up."""
+    """Return `size` members, half of them in the own domain if possible."""
     domain = local.failure_domain
     own = [member for member in ranked if member.failure_domain == domain]
     others = [member for member in ranked if member.failure_domain != domain]
