--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/ejection.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/ejection.py
@@ -1,4 +1,4 @@
-"""Upstreams that fail again and again, left out for a while."""
+"""Outlier ejection: upstreams that keep failing get no calls for a while."""
 
 from papayabay_core.errors import ErrorKind
 
@@ -8,93 +8,111 @@
     ErrorKind.TARGET_UNREACHABLE: 2,
     ErrorKind.TARGET_LOST: 2,
     ErrorKind.TARGET_REJECTED: 2,
-    # Half as much: a call may also expire through services further down.
+    # Half as many: a call may also expire because of a service further down.
     ErrorKind.EXPIRED: 1,
 }
 EJECTION_POINTS = 5
-"""Points at which an upstream is left out: three failures in a row, or five
-calls in a row that expired. Two may be chance on a link that was just lost."""
+"""Points at which an upstream is ejected: three failures in a row, or five
+calls in a row that expired. Two failures are not enough, as both may be due to
+a link that was just lost."""
 POINTS_AFTER_EJECTION = EJECTION_POINTS - 2
-"""One more failure then ejects it again."""
+"""Points from which a single failure ejects the upstream again."""
 FIRST_EJECTION_SECONDS = 1.0
-"""What a restart of a process takes; longer would waste one that is back."""
-LONGEST_EJECTION_SECONDS = 30.0
-"""An upstream that fails for good costs three calls in this time."""
+"""The time that a process takes to restart; a longer ejection would leave the
+restarted upstream idle."""
+MAX_EJECTION_SECONDS = 30.0
+"""An upstream that is down for good costs three failed calls in this time."""
 PENALTY_SECONDS = 2.0
-"""How long a failure speaks against an upstream: as long as it takes until a
-peer that went silent is given up."""
+"""Time over which the penalty of a failure decays. It equals the time after
+which a link to a silent peer is closed."""
 
 
 class Ejection:
-    """Consecutive failures of one upstream and what follows from them."""
+    """Consecutive failures of one upstream, and its ejection.
 
-    __slots__ = ("duration", "failed_at", "out", "points", "until")
+    Attributes
+    ----------
+    points : int
+        Sum of `FAILURE_POINTS` since the last answer.
+    failed_at : float
+        Time of the latest failure.
+    until : float
+        Time at which the latest ejection ends.
+    duration : float
+        Length of the latest ejection, seconds; 0 before the first, and again
+        after an answer that comes long after the ejection.
+    awaiting_answer : bool
+        Whether no answer has come since the latest ejection.
+    """
+
+    __slots__ = ("awaiting_answer", "duration", "failed_at", "points", "until")
 
     def __init__(self):
         self.points = 0
         self.failed_at = 0.0
         self.until = 0.0
         self.duration = 0.0
-        self.out = False
+        self.awaiting_answer = False
 
     def active(self, at):
-        """Return whether the upstream is left out now."""
+        """Return whether the upstream is ejected now."""
         return at < self.until
 
     def penalty(self, at):
-        """Return by how much recent failures make it a worse choice.
+        """Return the amount by which recent failures raise the score.
 
-        It ends with time: as long as it is there, the upstream loses each
-        draw, and so would get no call by which it could show that it works.
+        It decays with time. An upstream with a penalty loses each comparison,
+        so it would otherwise get no call that could show that it works again.
         """
         freshness = 1.0 - (at - self.failed_at) / PENALTY_SECONDS
         return self.points * freshness if freshness > 0.0 else 0.0
 
     def succeed(self, at):
-        """Note an answer; long after an ejection, forget its length."""
+        """Record an answer; reset the duration long after an ejection."""
         self.points = 0
         if self.duration and at >= self.until + self.duration:
             self.duration = 0.0
 
-    def give_chance(self):
-        """End an ejection; a single failure brings the next, longer one."""
+    def end_early(self):
+        """End an ejection; a single failure starts the next, longer one."""
         if self.duration:
             self.until = 0.0
             self.points = POINTS_AFTER_EJECTION
 
     def fail(self, points, at):
-        """Note a failure; return whether ejecting is due."""
+        """Record a failure; return whether the upstream is to be ejected."""
         self.failed_at = at
-        # One broken link fails all of its calls at once; without the cap,
-        # that burst would outweigh any later good sign.
+        # A broken link fails all of its calls at once. Without the cap, that
+        # burst would leave a penalty that outweighs all other factors.
         self.points = min(EJECTION_POINTS, self.points + points)
         return self.points >= EJECTION_POINTS
 
     def eject(self, at):
-        """Leave the upstream out, twice as long as the last time.
+        """Eject the upstream for twice as long as the last time.
 
         Afterwards a single failure ejects it again.
         """
         doubled = 2.0 * self.duration or FIRST_EJECTION_SECONDS
-        self.duration = min(LONGEST_EJECTION_SECONDS, doubled)
+        self.duration = min(MAX_EJECTION_SECONDS, doubled)
         self.until = at + self.duration
-        self.out = True
+        self.awaiting_answer = True
         self.points = POINTS_AFTER_EJECTION
 
 
 def may_eject(upstreams, at, max_share):
-    """Return whether one more upstream may be left out.
+    """Return whether one more upstream may be ejected.
 
-    When most upstreams fail, the cause is seldom the upstreams themselves.
-    Without the cap, a shared fault would leave the service with none at
-    all; one would see NO_UPSTREAM while targets are there.
+    When most upstreams fail, the cause is rarely the upstreams themselves.
+    Without the limit, a shared fault would eject all of them, and calls would
+    fail with NO_UPSTREAM although the targets are up.
 
     Parameters
     ----------
     upstreams : iterable of Upstream
-        All that this daemon chooses among.
+        All upstreams that this daemon chooses among.
     at : float
     max_share : float
+        Largest share of them that may be ejected at once.
     """
     states = [upstream.ejection.active(at) for upstream in upstreams]
     most = min(int(max_share * len(states)), len(states) - 1)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/ejection_log.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/ejection_log.py
@@ -1,4 +1,4 @@
-"""Log lines on upstreams that are left out, and that answer again."""
+"""Logs ejected upstreams, and those that answer again."""
 
 import logbook
 
@@ -8,8 +8,8 @@
 
 
 class EjectionLog:
-    """Logs from the first ejection to the next answer after the last."""
+    """Logs the first of several ejections, and the answer after the last."""
 
     def __init__(self):
-        self.ejected = SummedLine(log.warning, "upstreams left out for failing")
+        self.ejected = SummedLine(log.warning, "upstreams ejected after failures")
         self.returned = SummedLine(log.notice, "upstreams answer again")
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
@@ -1,104 +1,108 @@
-"""What an upstream last said that it refuses, itself and per call path."""
+"""Admission levels that an upstream last reported, of itself and by path."""
 
 from papayabay_core.calls import MOST_CLOSED
 from papayabay_core.importance import ADMIT_ALL, RANKS, Importance
 
-TRUST_SECONDS = 0.5
+HINT_TTL_SECONDS = 0.5
+"""Time for which a reported level is used unchanged."""
 RELAX_SECONDS = 0.5
-CRITICAL_TRUST_SECONDS = 0.2
-NEARLY_OPEN = ADMIT_ALL - RANKS // 64
+"""Time after the TTL in which a level rises to "all admitted"."""
+CRITICAL_HINT_TTL_SECONDS = 0.2
+"""Time for which a reported level holds back critical calls."""
+NEARLY_ADMIT_ALL = ADMIT_ALL - RANKS // 64
+"""Level from which an average is treated as "all admitted"."""
 
 
-class Hints:
-    """Admission levels of one upstream, or of a service's upstreams together.
+class AdmissionHints:
+    """Admission levels of one upstream, or of all upstreams of a service.
 
-    A hint is only as good as the last answer. Kept for too long it would
-    hold back calls that the upstream would take: capacity idles, and no
-    answer comes that could correct the hint. So it holds for a while, then
-    relaxes to "all admitted"; the calls that then go through bring the next
-    answer.
+    A hint is only as good as the latest answer. If it were kept too long, it
+    would hold back calls that the upstream would admit: capacity would be
+    idle, and no answer would come to correct the hint. It is therefore used
+    for a short time and then relaxes to "all admitted"; the calls that are
+    sent then bring the next answer.
 
     Parameters
     ----------
-    service : Hints or None
-        What was last heard of any upstream of the service. Upstreams share
-        an overload; where nothing fresh is known of one, its neighbours tell
-        more than the passing of time. Without that, each of them would be
-        tried again on its own, and each try wastes the work done above.
+    service_hints : AdmissionHints or None
+        Hints of all upstreams of the service, used once the own ones are
+        stale. Upstreams share an overload, so their neighbours' levels are
+        better than a relaxed level. Otherwise each upstream would be tried
+        again separately, and each refusal wastes the work done by the callers.
     weight : float
-        Of one answer; less than 1 averages over several upstreams.
+        Weight of one answer; less than 1 averages over several upstreams.
 
     Attributes
     ----------
-    own : int
+    own_level : int
         Level that the upstream itself admits.
-    closed : dict of str to int
-        Level that the services below it admit, by call path; a path that
-        isn't named is open. Every answer tells of all paths, so that a path
-        on which all calls are refused stays known as long as others go on.
-    heard_at : float
+    path_levels : dict of str to int
+        Level that the services below it admit, by call path; a path that is
+        missing has no limit. Each answer reports all paths, so that a path on
+        which all calls are refused is updated as long as others are called.
+    updated_at : float
     """
 
-    __slots__ = ("closed", "heard_at", "own", "service", "weight")
+    __slots__ = ("own_level", "path_levels", "service_hints", "updated_at", "weight")
 
-    def __init__(self, service=None, weight=1.0):
-        self.service = service
+    def __init__(self, service_hints=None, weight=1.0):
+        self.service_hints = service_hints
         self.weight = weight
-        self.own = ADMIT_ALL
-        self.closed = {}
-        self.heard_at = float("-inf")
+        self.own_level = ADMIT_ALL
+        self.path_levels = {}
+        self.updated_at = float("-inf")
 
-    def hear(self, load, at):
-        """Take over the levels of an answer."""
-        if self.weight < 1.0 and self.fresh(at):
+    def update(self, load, at):
+        """Take over the levels that an answer reports."""
+        if self.weight < 1.0 and self.is_fresh(at):
             self.average(load)
         else:
-            self.own = load.admit_level
-            self.closed = load.closed
-        self.heard_at = at
+            self.own_level = load.admit_level
+            self.path_levels = load.closed
+        self.updated_at = at
 
     def average(self, load):
-        """Move the levels towards those of an answer."""
-        self.own = self.moved(self.own, load.admit_level)
-        if not self.closed and not load.closed:
+        """Update the moving averages with the levels of an answer."""
+        self.own_level = self.averaged(self.own_level, load.admit_level)
+        if not self.path_levels and not load.closed:
             return
         levels = {
-            path: self.moved(
-                self.closed.get(path, ADMIT_ALL), load.closed.get(path, ADMIT_ALL)
+            path: self.averaged(
+                self.path_levels.get(path, ADMIT_ALL), load.closed.get(path, ADMIT_ALL)
             )
-            for path in self.closed.keys() | load.closed.keys()
+            for path in self.path_levels.keys() | load.closed.keys()
         }
         lowest_first = sorted(levels.items(), key=lambda entry: entry[1])
-        self.closed = {
+        self.path_levels = {
             path: level
             for path, level in lowest_first[: 2 * MOST_CLOSED]
-            if level < NEARLY_OPEN
+            if level < NEARLY_ADMIT_ALL
         }
 
-    def moved(self, level, heard):
-        """Return a level moved towards one that was heard."""
-        return int(level + self.weight * (heard - level))
+    def averaged(self, level, reported):
+        """Return the moving average of a level after a reported one."""
+        return int(level + self.weight * (reported - level))
 
-    def fresh(self, at):
-        """Return whether it was heard a short while ago."""
-        return at - self.heard_at <= TRUST_SECONDS
+    def is_fresh(self, at):
+        """Return whether the latest answer is within the TTL."""
+        return at - self.updated_at <= HINT_TTL_SECONDS
 
     def level(self, path_key, at):
-        """Return the level of a path that is believed to be admitted now."""
-        stale = at - self.heard_at - TRUST_SECONDS
-        if stale > 0.0 and self.service is not None:
-            return self.service.level(path_key, at)
-        level = min(self.own, self.closed.get(path_key, ADMIT_ALL))
-        if stale <= 0.0 or level >= ADMIT_ALL:
+        """Return the level that a path is expected to admit now."""
+        stale_for = at - self.updated_at - HINT_TTL_SECONDS
+        if stale_for > 0.0 and self.service_hints is not None:
+            return self.service_hints.level(path_key, at)
+        level = min(self.own_level, self.path_levels.get(path_key, ADMIT_ALL))
+        if stale_for <= 0.0 or level >= ADMIT_ALL:
             return level
-        if stale >= RELAX_SECONDS:
+        if stale_for >= RELAX_SECONDS:
             return ADMIT_ALL
-        return level + int((ADMIT_ALL - level) * (stale / RELAX_SECONDS))
+        return level + int((ADMIT_ALL - level) * (stale_for / RELAX_SECONDS))
 
     def refuses(self, call, level, at):
-        """Return whether the upstream is believed to refuse a call."""
+        """Return whether the upstream is expected to refuse a call."""
         if level <= self.level(call.path_key, at):
             return False
         if call.importance != Importance.CRITICAL:
             return True
-        return at - self.heard_at <= CRITICAL_TRUST_SECONDS
+        return at - self.updated_at <= CRITICAL_HINT_TTL_SECONDS
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/pool.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/pool.py
@@ -5,12 +5,14 @@
 from papayabay_core.calls import Answer
 from papayabay_core.errors import ErrorKind
 from papayabay_daemon._internal.routing.ejection import FAILURE_POINTS, may_eject
-from papayabay_daemon._internal.routing.hints import Hints
+from papayabay_daemon._internal.routing.hints import AdmissionHints
 from papayabay_daemon._internal.routing.subset import choose_subset
 from papayabay_daemon._internal.routing.upstream import Upstream
 
-TYPICAL_WEIGHT = 0.05
-SERVICE_WEIGHT = 0.25
+MEAN_LATENCY_WEIGHT = 0.05
+"""Weight of an answer in the service's moving average of latency."""
+SERVICE_HINT_WEIGHT = 0.25
+"""Weight of an answer in the admission hints of the whole service."""
 
 
 class Pool:
@@ -23,20 +25,23 @@
     Attributes
     ----------
     source : list of Member
-        The membership list that the subset was made of.
+        The membership list that the subset was chosen from.
     subset, reserve : list of Upstream
-    near : list of Upstream
-        Those of the subset in the own failure domain, where policy prefers
-        them.
+    own_domain : list of Upstream
+        Upstreams of the subset in this daemon's failure domain; empty unless
+        policy prefers them.
     states : dict of str to Upstream
-    typical : float
+    mean_latency : float
         Average latency over all of them, seconds.
+    turn : int
+        Counts the calls of the round-robin strategy.
     """
 
     __slots__ = (
         "ejections",
         "hints",
-        "near",
+        "mean_latency",
+        "own_domain",
         "policy",
         "reserve",
         "routing",
@@ -44,24 +49,23 @@
         "states",
         "subset",
         "turn",
-        "typical",
     )
 
     def __init__(self, ejections):
         self.ejections = ejections
-        self.hints = Hints(weight=SERVICE_WEIGHT)
+        self.hints = AdmissionHints(weight=SERVICE_HINT_WEIGHT)
         self.source = None
         self.policy = None
         self.routing = None
         self.subset = []
-        self.near = []
+        self.own_domain = []
         self.reserve = []
         self.states = {}
-        self.typical = 0.0
+        self.mean_latency = 0.0
         self.turn = 0
 
     def refresh(self, local, upstreams, service, policy):
-        """Take over a changed membership or policy; cheap when unchanged."""
+        """Apply a changed membership or policy; cheap if neither changed."""
         if upstreams is self.source and policy is self.policy:
             return
         self.source = upstreams
@@ -72,28 +76,28 @@
         )
         self.subset = [self.state_of(member) for member in subset]
         self.reserve = [self.state_of(member) for member in reserve]
-        self.near = self.near_ones(local)
+        self.own_domain = self.find_own_domain(local)
         self.prune()
 
-    def near_ones(self, local):
-        """Return the upstreams that are taken before all others."""
+    def find_own_domain(self, local):
+        """Return the upstreams that are preferred over all others."""
         if not self.routing.own_domain_usage:
             return []
         domain = local.failure_domain
         return [one for one in self.subset if one.member.failure_domain == domain]
 
     def state_of(self, member):
-        """Return a member's state, anew when the member was restarted."""
+        """Return a member's state, which a new incarnation resets."""
         state = self.states.get(member.name)
         if state is None:
             state = self.states[member.name] = Upstream(member, self.hints)
         elif state.incarnation != member.incarnation:
-            state.forget(member)
+            state.reset(member)
         state.member = member
         return state
 
     def prune(self):
-        """Forget who is no longer chosen and has nothing in flight."""
+        """Remove upstreams that are in no list and have nothing in flight."""
         chosen = {state.member.name for state in chain(self.subset, self.reserve)}
         self.states = {
             name: state
@@ -101,8 +105,8 @@
             if name in chosen or state.in_flight
         }
 
-    def busy(self):
-        """Return whether any attempt hasn't ended."""
+    def is_busy(self):
+        """Return whether any attempt is in flight."""
         return any(state.in_flight for state in self.states.values())
 
     def started(self, name):
@@ -112,43 +116,43 @@
             state.in_flight += 1
 
     def ended(self, member, path_key, answer: Answer | None, elapsed, at, eject):
-        """Count an attempt's end and learn from its answer."""
+        """Count an attempt's end, and update the state from its answer."""
         state = self.states.get(member.name)
         if state is None:
             return
         state.in_flight = max(0, state.in_flight - 1)
-        # An answer of a process that was replaced says nothing of the new.
+        # The answer of a previous incarnation says nothing about this one.
         if answer is None or member.incarnation != state.incarnation:
             return
         if answer.load is not None:
-            state.hear(answer.load, at)
-            self.hints.hear(answer.load, at)
+            state.update_load(answer.load, at)
+            self.hints.update(answer.load, at)
         if answer.kind is None:
-            self.measure(state, answer, elapsed, at)
+            self.record_answer(state, answer, elapsed, at)
         elif answer.kind is ErrorKind.LEAVING:
-            state.leave(at)
+            state.mark_leaving(at)
         elif eject and answer.kind in FAILURE_POINTS:
-            self.fail(state, FAILURE_POINTS[answer.kind], at)
+            self.record_failure(state, FAILURE_POINTS[answer.kind], at)
 
-    def measure(self, state, answer, elapsed, at):
-        """Learn from a target's own answer."""
+    def record_answer(self, state, answer, elapsed, at):
+        """Update ejection and latency from a target's own answer."""
         ejection = state.ejection
         ejection.succeed(at)
-        # While it is left out, answers of earlier calls still come in.
-        if ejection.out and not ejection.active(at):
-            ejection.out = False
+        # Answers to earlier calls still arrive during an ejection.
+        if ejection.awaiting_answer and not ejection.active(at):
+            ejection.awaiting_answer = False
             self.ejections.returned.add(state.member.name)
         failed = answer.failed
-        state.measure(elapsed, failed, at)
+        state.record_answer(elapsed, failed, at)
         if not failed:
-            weight = TYPICAL_WEIGHT if self.typical else 1.0
-            self.typical += weight * (elapsed - self.typical)
+            weight = MEAN_LATENCY_WEIGHT if self.mean_latency else 1.0
+            self.mean_latency += weight * (elapsed - self.mean_latency)
 
-    def fail(self, state, points, at):
-        """Count a failure, and leave the upstream out if that's due."""
+    def record_failure(self, state, points, at):
+        """Count a failure, and eject the upstream if required."""
         if not state.ejection.fail(points, at) or state.ejection.active(at):
             return
         if may_eject(self.subset, at, self.routing.max_ejected_share):
-            if not state.ejection.out:
+            if not state.ejection.awaiting_answer:
                 self.ejections.ejected.add(state.member.name)
             state.ejection.eject(at)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/strategies.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/strategies.py
@@ -1,4 +1,4 @@
-"""The ways to pick one upstream of a pool."""
+"""Strategies to pick one upstream of a pool."""
 
 from collections.abc import Collection
 from typing import Protocol
@@ -9,28 +9,28 @@
 
 
 class Strategy(Protocol):
-    """Picks among upstreams."""
+    """Picks one of a pool's upstreams."""
 
-    def pick_at_once(
+    def pick_fast(
         self, pool: Pool, call: Call, excluded: Collection[str], at: float
     ) -> Upstream | None:
-        """Return one without looking at all of them, or None."""
+        """Return an upstream without checking all of them, or None."""
 
     def pick(self, pool: Pool, upstreams: list[Upstream], at: float) -> Upstream:
         """Return one of a non-empty list."""
 
     def accepts(self, upstream: Upstream, call: Call, level: int, at: float) -> bool:
-        """Return whether to send a call there at all."""
+        """Return whether the call may be sent to an upstream."""
 
 
 class TwoChoices:
-    """The better of two drawn at random.
+    """Picks the better of two random upstreams ("power of two choices").
 
     Parameters
     ----------
     random : random.Random
     upstream_refusal : bool
-        Whether to skip upstreams that are believed to refuse the call.
+        Whether to skip upstreams that are expected to refuse the call.
     """
 
     __slots__ = ("random", "upstream_refusal")
@@ -39,56 +39,56 @@
         self.random = random
         self.upstream_refusal = upstream_refusal
 
-    def pick_at_once(self, pool, call, excluded, at):
-        """Return the better of two if both will do; else look at all.
+    def pick_fast(self, pool, call, excluded, at):
+        """Return the better of two random upstreams if both are eligible.
 
-        The pair is as random among all that will do as one drawn from
-        their list, so that this changes only the time needed.
+        Otherwise `pick` has to choose among all that are. A pair that is drawn
+        here is distributed like one drawn by `pick`, so this only saves time.
         """
-        near = self.pick_near(pool, call, excluded, at)
-        if near is not None:
-            return near
+        preferred = self.pick_own_domain(pool, call, excluded, at)
+        if preferred is not None:
+            return preferred
         if len(pool.subset) < 2:
             return None
         one, other = self.draw(pool.subset)
         level = call.level
         for upstream in (one, other):
             if not (
-                upstream.present(at)
+                upstream.is_available(at)
                 and upstream.member.name not in excluded
                 and self.accepts(upstream, call, level, at)
             ):
                 return None
         return self.better(pool, one, other, at)
 
-    def pick_near(self, pool, call, excluded, at):
-        """Return the least used of the own failure domain, if it will do.
+    def pick_own_domain(self, pool, call, excluded, at):
+        """Return the least used upstream of the own failure domain, or None.
 
-        Traffic between failure domains costs money, and the way there a
-        millisecond or two; a call that waits in a queue, or meets a target
-        that fails, loses far more. So one that is in doubt is left to the
-        draw among all.
+        Traffic between failure domains costs money and a millisecond or two of
+        latency. A queue or a failing target costs far more, so only healthy
+        upstreams below the usage limit are preferred; the others compete with
+        the rest of the subset.
         """
-        most = pool.routing.own_domain_usage
-        fit = [
+        max_usage = pool.routing.own_domain_usage
+        candidates = [
             (usage, number)
-            for number, one in enumerate(pool.near)
+            for number, one in enumerate(pool.own_domain)
             if one.member.name not in excluded
-            and one.is_sound(pool.typical, at)
-            and (usage := one.usage(at)) < most
+            and one.is_healthy(pool.mean_latency, at)
+            and (usage := one.usage(at)) < max_usage
             and self.accepts(one, call, call.level, at)
         ]
-        return pool.near[min(fit)[1]] if fit else None
+        return pool.own_domain[min(candidates)[1]] if candidates else None
 
     def pick(self, pool, upstreams, at):
-        """Return the better of two."""
+        """Return the better of two random upstreams."""
         if len(upstreams) == 1:
             return upstreams[0]
         one, other = self.draw(upstreams)
         return self.better(pool, one, other, at)
 
     def draw(self, upstreams):
-        """Return two different ones of at least two."""
+        """Return two different upstreams of a list of at least two."""
         count = len(upstreams)
         first = int(self.random.random() * count)
         second = int(self.random.random() * (count - 1))
@@ -96,33 +96,33 @@
         return upstreams[first], upstreams[second]
 
     def better(self, pool, one, other, at):
-        """Return the one with the lower score."""
+        """Return the upstream with the lower score."""
         use_latency = pool.routing.prefer_own_domain
-        one_score = one.score(pool.typical, use_latency, at)
-        other_score = other.score(pool.typical, use_latency, at)
+        one_score = one.score(pool.mean_latency, use_latency, at)
+        other_score = other.score(pool.mean_latency, use_latency, at)
         return one if one_score <= other_score else other
 
     def accepts(self, upstream, call, level, at):
-        """Return whether it is not believed to refuse the call."""
+        """Return whether the upstream is not expected to refuse the call."""
         if not self.upstream_refusal:
             return True
         return not upstream.hints.refuses(call, level, at)
 
 
 class RoundRobin:
-    """Each in turn, whatever its state; the bench's baseline."""
+    """Picks the upstreams in turn; a baseline for benchmarks."""
 
     __slots__ = ()
 
-    def pick_at_once(self, pool, call, excluded, at):
-        """Return None: turns are taken among those present."""
+    def pick_fast(self, pool, call, excluded, at):
+        """Return None: `pick` iterates over the available upstreams."""
         return None
 
     def pick(self, pool, upstreams, at):
-        """Return the next one."""
+        """Return the next upstream."""
         pool.turn += 1
         return upstreams[pool.turn % len(upstreams)]
 
     def accepts(self, upstream, call, level, at):
-        """Return True: refusing is left to the callee."""
+        """Return True: only the callee refuses calls."""
         return True
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/table.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/table.py
@@ -1,4 +1,4 @@
-"""The router: pools per service, strategy by the policy in force."""
+"""The router: chooses upstreams by the strategy of the policy in force."""
 
 from collections import Counter
 
@@ -18,7 +18,7 @@
 
 
 class RoutingTable:
-    """Chooses an upstream for each attempt and learns from its end.
+    """Chooses an upstream for each attempt, and records the attempt's end.
 
     Parameters
     ----------
@@ -38,50 +38,52 @@
         self.pools = {}
         self.counters = Counter()
         self.round_robin = RoundRobin()
-        self.refusing = TwoChoices(random, True)
-        self.trusting = TwoChoices(random, False)
+        self.two_choices_hinted = TwoChoices(random, True)
+        self.two_choices = TwoChoices(random, False)
         self.ejections = EjectionLog()
 
     def strategy(self, decisions):
-        """Return the strategy that policy asks for."""
+        """Return the strategy that policy selects."""
         if decisions.routing == "round-robin":
             return self.round_robin
-        return self.refusing if decisions.upstream_refusal else self.trusting
+        if decisions.upstream_refusal:
+            return self.two_choices_hinted
+        return self.two_choices
 
     def choose(self, call, excluded):
-        """Return where to send an attempt.
+        """Return the member to send an attempt to.
 
         Parameters
         ----------
         call : Call
         excluded : collection of str
-            Names already tried.
+            Names of upstreams already tried.
 
         Raises
         ------
         CallError
-            NO_UPSTREAM when none is left; OVERLOADED with `retry_after_ms`
-            when all that are left refuse the call's level.
+            NO_UPSTREAM if no upstream is available; OVERLOADED with
+            `retry_after_ms` if all that are available refuse the call's level.
         """
         policy = self.policy_source()
         strategy = self.strategy(policy.decisions)
         pool = self.pool(call.service, policy)
         at = self.clock()
-        quick = strategy.pick_at_once(pool, call, excluded, at)
-        if quick is not None:
-            return quick.member
-        present = self.present(pool, excluded, at)
-        if not present:
+        picked = strategy.pick_fast(pool, call, excluded, at)
+        if picked is not None:
+            return picked.member
+        available = self.available(pool, excluded, at)
+        if not available:
             self.counters["no_upstream"] += 1
             raise CallError(ErrorKind.NO_UPSTREAM, call.service)
         level = call.level
-        willing = [
+        accepting = [
             upstream
-            for upstream in present
+            for upstream in available
             if strategy.accepts(upstream, call, level, at)
         ]
-        if willing:
-            return strategy.pick(pool, willing, at).member
+        if accepting:
+            return strategy.pick(pool, accepting, at).member
         self.counters["refused_early"] += 1
         raise CallError(
             ErrorKind.OVERLOADED,
@@ -90,7 +92,7 @@
         )
 
     def retry_after_ms(self, call):
-        """Return when to come back, spread so that callers don't in step."""
+        """Return the retry delay, with jitter to spread the callers."""
         base = RETRY_AFTER_MS[call.importance]
         return int(base * self.random.uniform(0.5, 1.5))
 
@@ -105,7 +107,7 @@
         self.choose(call, ())
 
     def has_other(self, call, excluded):
-        """Return whether `choose` would find one that takes the call."""
+        """Return whether `choose` would find an upstream for the call."""
         policy = self.policy_source()
         strategy = self.strategy(policy.decisions)
         pool = self.pool(call.service, policy)
@@ -113,23 +115,23 @@
         level = call.level
         return any(
             strategy.accepts(upstream, call, level, at)
-            for upstream in self.present(pool, excluded, at)
+            for upstream in self.available(pool, excluded, at)
         )
 
-    def present(self, pool, excluded, at):
-        """Return who may be chosen: of the subset, else of the reserve."""
+    def available(self, pool, excluded, at):
+        """Return available upstreams, of the subset or else of the reserve."""
         return [
             upstream
             for upstream in pool.subset
-            if upstream.present(at) and upstream.member.name not in excluded
+            if upstream.is_available(at) and upstream.member.name not in excluded
         ] or [
             upstream
             for upstream in pool.reserve
-            if upstream.present(at) and upstream.member.name not in excluded
+            if upstream.is_available(at) and upstream.member.name not in excluded
         ]
 
     def pool(self, service, policy):
-        """Return a service's pool, up to date with membership and policy."""
+        """Return a service's pool, refreshed with membership and policy."""
         pool = self.pools.get(service)
         if pool is None:
             pool = self.add_pool(service)
@@ -138,37 +140,37 @@
         return pool
 
     def add_pool(self, service):
-        """Return a new pool; the oldest idle one goes beyond the cap."""
+        """Return a new pool; evict the oldest idle one at the limit."""
         if len(self.pools) >= MAX_POOLS:
-            idle = (name for name, pool in self.pools.items() if not pool.busy())
+            idle = (name for name, pool in self.pools.items() if not pool.is_busy())
             self.pools.pop(next(idle, None), None)
         pool = self.pools[service] = Pool(self.ejections)
         return pool
 
     def set_link_unresponsive(self, name, unresponsive):
-        """Note whether the way to an upstream is in doubt."""
+        """Record whether the link to an upstream is unresponsive."""
         for pool in self.pools.values():
-            known = pool.states.get(name)
-            if known is not None:
-                known.link_unresponsive = unresponsive
+            state = pool.states.get(name)
+            if state is not None:
+                state.link_unresponsive = unresponsive
 
     def started(self, member, call):
-        """Note that an attempt was sent."""
+        """Record that an attempt was sent."""
         pool = self.pools.get(call.service)
         if pool is not None:
             pool.started(member.name)
 
     def ended(self, member, call, answer, elapsed):
-        """Note an attempt's end, once.
+        """Record an attempt's end, once for each `started`.
 
         Parameters
         ----------
         member : Member
         call : Call
         answer : Answer or None
-            None when the attempt was cancelled from above. A failed link or
-            an attempt that outlived the call is an answer of that kind; the
-            outlier ejection learns from it.
+            None if the caller cancelled the attempt. If the link failed or
+            the call expired, an answer of that kind, which counts for outlier
+            ejection.
         elapsed : float
             Seconds since `started`.
         """
@@ -181,8 +183,8 @@
     def path_level(self, service, path_key):
         """Return the admission level of a service as a whole.
 
-        It is the mean over the upstreams: each one's level tells the share
-        of calls that it takes, and calls that one refuses go to the others.
+        It is the mean over the upstreams: the level of each stands for the
+        share of calls that it admits, and calls that it refuses go to others.
         """
         pool = self.pools.get(service)
         if pool is None:
@@ -191,24 +193,26 @@
         levels = [
             upstream.hints.level(path_key, at)
             for upstream in pool.subset
-            if upstream.present(at)
+            if upstream.is_available(at)
         ]
         return sum(levels) // len(levels) if levels else ADMIT_ALL
 
     def explain(self, member, call):
-        """Return what is known of a chosen upstream, as plain values."""
+        """Return the state of a chosen upstream for the decision log."""
         pool = self.pools.get(call.service)
-        known = pool.states.get(member.name) if pool is not None else None
-        if known is None:
+        state = pool.states.get(member.name) if pool is not None else None
+        if state is None:
             return {"name": member.name}
         at = self.clock()
         return {
             "name": member.name,
             "incarnation": member.incarnation,
-            "in_flight": known.in_flight,
-            "admits": known.hints.level(call.path_key, at),
-            "heard_ms": round((at - known.heard_at) * 1_000) if known.load else None,
-            "points": known.ejection.points,
+            "in_flight": state.in_flight,
+            "admits": state.hints.level(call.path_key, at),
+            "heard_ms": round((at - state.load_updated_at) * 1_000)
+            if state.load
+            else None,
+            "points": state.ejection.points,
         }
 
     def status(self):
@@ -231,7 +235,7 @@
         "in_flight": upstream.in_flight,
         "usage": round(upstream.usage(at), 3),
         "latency_ms": round(upstream.latency * 1_000.0, 3),
-        "error_share": round(upstream.errors, 3),
+        "error_share": round(upstream.error_rate, 3),
         "ejected": upstream.ejection.active(at),
         "leaving": at < upstream.leaving_until,
     }
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/upstream.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/upstream.py
@@ -1,43 +1,44 @@
-"""What a daemon knows of one upstream from the calls it sent there."""
+"""State of one upstream, learned from this daemon's calls to it."""
 
 from math import exp
 
 from papayabay_daemon._internal.interfaces import MemberState
 from papayabay_daemon._internal.routing.ejection import Ejection
-from papayabay_daemon._internal.routing.hints import Hints
+from papayabay_daemon._internal.routing.hints import AdmissionHints
 
-LOAD_FADE_SECONDS = 0.5
-"""Time in which what was heard of a load loses two thirds of its weight: some
-calls of usual length, after which another load is there."""
-LATENCY_FADE_SECONDS = 5.0
+LOAD_DECAY_SECONDS = 0.5
+"""Time in which a reported load loses two thirds of its weight. It is a few
+times the usual duration of a call, after which the load has changed."""
+LATENCY_DECAY_SECONDS = 5.0
 """The same for a measured latency, which changes with the upstream and not
 with each call."""
 LATENCY_WEIGHT = 0.2
-"""Of the latest answer in the moving average: ten answers make a new one."""
-HOPED_SHARE = 0.9
-"""Part of the service's average latency that is hoped for where nothing fresh
-is known, so that a slow upstream is tried again."""
+"""Weight of an answer in the moving average of latency: after ten answers,
+older ones hardly count."""
+OPTIMISTIC_SHARE = 0.9
+"""Share of the service's average latency that is assumed for an upstream
+without recent measurements, so that a slow upstream is tried again."""
 ERROR_WEIGHT = 0.1
-"""Of the latest answer in the moving share of failures."""
+"""Weight of an answer in the moving average of failures."""
 ERROR_PENALTY = 4.0
-"""Score of an upstream that only fails, over that of a sound one, less 1. At
-twice the load the sound one is still the better choice."""
-ERROR_SECONDS = 5.0
-"""Time after which a failure says nothing any more."""
-SHORTEST_LATENCY = 0.000_1
-"""Seconds; keeps scores above 0."""
+"""Factor, less 1, on the score of an upstream that only fails. A healthy
+upstream with twice the load is still the better choice."""
+ERROR_DECAY_SECONDS = 5.0
+"""Time after which a failure is disregarded."""
+MIN_LATENCY_SECONDS = 0.000_1
+"""Keeps scores above 0."""
 LEAVING_SECONDS = 5.0
-"""How long an upstream that said it leaves is passed over; gossip tells of it
-within that time."""
+"""How long an upstream that reported that it is leaving gets no calls. Gossip
+reports the departure within that time."""
 SUSPECT_PENALTY = 2.0
-"""Score of a suspected member over that of a live one: most of the suspected
-turn out to be alive."""
-SOUND_ERROR_PENALTY = 0.2
-"""Error penalty below which an upstream is taken without comparison: one in
-twenty of its answers failed lately."""
-SLOW_FACTOR = 2.0
-"""How many times the service's average latency a sound upstream may take;
-upstreams of one service differ by up to 1.6 times in speed."""
+"""Factor on the score of a suspected member: most suspected members turn out
+to be alive."""
+HEALTHY_ERROR_PENALTY = 0.2
+"""Error penalty below which an upstream counts as healthy. One in twenty
+recent answers failed at this value."""
+MAX_HEALTHY_LATENCY_RATIO = 2.0
+"""How many times the service's average latency a healthy upstream may take.
+Upstreams of one service differ by up to 1.6 times in speed."""
 
 
 class Upstream:
@@ -47,31 +48,35 @@
     ----------
     member : Member
     in_flight : int
-        Attempts of this daemon that haven't ended.
+        Attempts of this daemon that have not ended.
     link_unresponsive : bool
-        Whether the link to it owes an answer for long; calls that were sent
-        there wait on, and no further ones follow them.
+        Whether an answer on the link to it is overdue. Calls in flight keep
+        waiting, but no further calls are sent.
     load : LoadState or None
-        The last one heard, at `heard_at`.
+        The latest reported load, received at `load_updated_at`.
     latency : float
-        Moving average of the seconds until good answers, with queueing and
-        the network; 0 before the first. Updated at `measured_at`.
-    errors : float
-        Moving share of the target's own 5xx answers, the last `error_at`.
+        Moving average of the time to a successful answer, seconds, including
+        queueing and the network; 0 before the first. Updated at `measured_at`.
+    error_rate : float
+        Moving average of the target's own 5xx answers, the latest of which
+        came at `failed_at`.
+    leaving_until : float
+        Time until which it gets no calls because it reported that it is
+        leaving.
     """
 
     __slots__ = (
-        "link_unresponsive",
         "ejection",
-        "error_at",
-        "errors",
-        "heard_at",
+        "error_rate",
+        "failed_at",
         "hints",
         "in_flight",
         "incarnation",
         "latency",
         "leaving_until",
+        "link_unresponsive",
         "load",
+        "load_updated_at",
         "measured_at",
         "member",
         "service_hints",
@@ -82,29 +87,29 @@
         self.link_unresponsive = False
         self.service_hints = service_hints
         self.ejection = Ejection()
-        self.forget(member)
+        self.reset(member)
 
-    def forget(self, member):
-        """Start anew with a member's new incarnation.
+    def reset(self, member):
+        """Discard the state of a previous incarnation.
 
-        Attempts in flight still count. So does how often it was ejected: a
-        refuted suspicion raises the incarnation too, and an upstream whose
-        network flaps would otherwise begin with the shortest ejection
-        after each suspicion.
+        Attempts in flight still count. So does the length of the latest
+        ejection: a refuted suspicion raises the incarnation too, and an
+        upstream with a flapping network would otherwise start with the
+        shortest ejection after each suspicion.
         """
         self.member = member
         self.incarnation = member.incarnation
         self.load = None
-        self.heard_at = 0.0
+        self.load_updated_at = 0.0
         self.latency = 0.0
         self.measured_at = 0.0
-        self.errors = 0.0
-        self.error_at = 0.0
+        self.error_rate = 0.0
+        self.failed_at = 0.0
         self.leaving_until = 0.0
-        self.hints = Hints(self.service_hints)
-        self.ejection.give_chance()
+        self.hints = AdmissionHints(self.service_hints)
+        self.ejection.end_early()
 
-    def present(self, at):
+    def is_available(self, at):
         """Return whether it may be chosen, whatever its load."""
         return (
             at >= self.leaving_until
@@ -113,43 +118,44 @@
             and self.member.state <= MemberState.SUSPECT
         )
 
-    def is_sound(self, typical, at):
-        """Return whether nothing speaks against it but its load.
+    def is_healthy(self, mean_latency, at):
+        """Return whether it is available, without failures, and not slow.
 
         Parameters
         ----------
-        typical : float
+        mean_latency : float
             Average latency of the service, seconds.
         at : float
         """
         return (
-            self.present(at)
+            self.is_available(at)
             and not self.ejection.penalty(at)
-            and self.error_penalty(at) < SOUND_ERROR_PENALTY
-            and self.expected_latency(typical, at) <= SLOW_FACTOR * typical
+            and self.error_penalty(at) < HEALTHY_ERROR_PENALTY
+            and self.expected_latency(mean_latency, at)
+            <= MAX_HEALTHY_LATENCY_RATIO * mean_latency
         )
 
-    def hear(self, load, at):
-        """Note the load that an answer carried."""
+    def update_load(self, load, at):
+        """Record the load that an answer reports."""
         self.load = load
-        self.heard_at = at
-        self.hints.hear(load, at)
+        self.load_updated_at = at
+        self.hints.update(load, at)
 
-    def leave(self, at):
-        """Note that it said it is leaving.
+    def mark_leaving(self, at):
+        """Record that it answered that it is leaving.
 
-        Without this memory, calls would go on to a leaving upstream until
-        gossip tells of it; one would see a round of LEAVING answers.
+        Otherwise calls would be sent to it, and be answered with LEAVING,
+        until gossip reports its departure.
         """
         self.leaving_until = at + LEAVING_SECONDS
 
-    def measure(self, elapsed, failed, at):
-        """Note how long a target's answer took, and whether it was 5xx."""
-        self.errors += ERROR_WEIGHT * (failed - self.errors)
-        # A fast failure says nothing of how long good work takes; counted
-        # in, a broken target would look like the quickest one.
+    def record_answer(self, elapsed, failed, at):
+        """Record the latency of a target's answer, and whether it was 5xx."""
+        self.error_rate += ERROR_WEIGHT * (failed - self.error_rate)
+        # The latency of a failure is no measure of successful work: an
+        # upstream that fails fast would look like the fastest one.
         if failed:
-            self.error_at = at
+            self.failed_at = at
             return
         if self.latency:
             self.latency += LATENCY_WEIGHT * (elapsed - self.latency)
@@ -158,60 +164,62 @@
         self.measured_at = at
 
     def usage(self, at):
-        """Return the load in shares of the limit; what was heard fades.
+        """Return the load as a share of the limit; reported load decays.
 
-        A ramping upstream announces a small limit and so gets less.
+        An upstream that is ramping up reports a small limit, and so gets fewer
+        calls.
         """
         load = self.load
         if load is None:
             return self.in_flight / max(1, self.member.slots)
-        heard = load.in_flight + load.queued
-        faded = heard * exp((self.heard_at - at) / LOAD_FADE_SECONDS)
-        return (self.in_flight + faded) / max(1, load.limit)
+        reported = load.in_flight + load.queued
+        decayed = reported * exp((self.load_updated_at - at) / LOAD_DECAY_SECONDS)
+        return (self.in_flight + decayed) / max(1, load.limit)
 
-    def expected_latency(self, typical, at):
-        """Return the average latency, fading to a hopeful guess with age.
+    def expected_latency(self, mean_latency, at):
+        """Return the average latency, decaying to an optimistic guess.
 
-        Without fading, an upstream that was slow once would never be
-        chosen, and so never measured, again.
+        Without the decay, an upstream that was slow once would never be chosen
+        again, and so never be measured again.
         """
-        hoped = typical * HOPED_SHARE
+        expected = mean_latency * OPTIMISTIC_SHARE
         if self.latency:
-            weight = exp((self.measured_at - at) / LATENCY_FADE_SECONDS)
-            hoped += weight * (self.latency - hoped)
-        return max(SHORTEST_LATENCY, hoped)
+            weight = exp((self.measured_at - at) / LATENCY_DECAY_SECONDS)
+            expected += weight * (self.latency - expected)
+        return max(MIN_LATENCY_SECONDS, expected)
 
     def error_penalty(self, at):
-        """Return by how much its 5xx answers make it a worse choice.
+        """Return the amount by which its 5xx answers raise the score.
 
-        Ends with time since the last one, for the reason that the penalty
-        of failures does.
+        It decays with the time since the latest one, for the same reason as
+        `Ejection.penalty`.
         """
-        freshness = 1.0 - (at - self.error_at) / ERROR_SECONDS
-        return ERROR_PENALTY * self.errors * freshness if freshness > 0.0 else 0.0
+        freshness = 1.0 - (at - self.failed_at) / ERROR_DECAY_SECONDS
+        return ERROR_PENALTY * self.error_rate * freshness if freshness > 0.0 else 0.0
 
-    def score(self, typical, use_latency, at):
-        """Return how bad a choice it is.
+    def score(self, mean_latency, use_latency, at):
+        """Return the score of a choice; lower is better.
 
-        The near upstream's shorter latency wins while loads are alike; the
-        square makes load win well before the near one is full.
+        A nearby upstream's shorter latency decides while loads are similar.
+        The square of the load outweighs it well before the nearby upstream is
+        full.
 
         Parameters
         ----------
-        typical : float
+        mean_latency : float
             Average latency of the service, seconds.
         use_latency : bool
         at : float
         """
         usage = 1.0 + self.usage(at)
         score = usage * usage
-        if self.errors:
+        if self.error_rate:
             score *= 1.0 + self.error_penalty(at)
-        # Beyond the ejection cap, failing upstreams stay in the choice.
+        # Failing upstreams that may not be ejected can still be chosen.
         if self.ejection.points:
             score *= 1.0 + self.ejection.penalty(at)
         if self.member.state:
             score *= SUSPECT_PENALTY
         if use_latency:
-            score *= self.expected_latency(typical, at)
+            score *= self.expected_latency(mean_latency, at)
         return score
--- a/tests/unit/daemon/test_ejection_lines.py
+++ b/tests/unit/daemon/test_ejection_lines.py
@@ -3,7 +3,7 @@
 import logbook
 
 from papayabay_core.errors import ErrorKind
-from papayabay_daemon._internal.routing.ejection import LONGEST_EJECTION_SECONDS
+from papayabay_daemon._internal.routing.ejection import MAX_EJECTION_SECONDS
 from tests.unit.daemon import test_routing_table as routing
 
 FAILURES = 3
@@ -27,11 +27,11 @@
         for _ in range(5):
             for _ in range(FAILURES):
                 self.end(upstream, routing.failed(ErrorKind.LINK_LOST))
-            self.at += LONGEST_EJECTION_SECONDS
+            self.at += MAX_EJECTION_SECONDS
         self.end(upstream, routing.failed(ErrorKind.LINK_LOST))
         self.end(upstream, routing.good())
-        self.at += LONGEST_EJECTION_SECONDS
-        out = "upstreams left out for failing: 1 (first: u0)"
+        self.at += MAX_EJECTION_SECONDS
+        out = "upstreams ejected after failures: 1 (first: u0)"
         self.assertEqual([record.message for record in self.logged.records], [out])
         for _ in range(2):
             self.end(upstream, routing.good())
