--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Quarantine of requests that crash the targets which run them."""
+"""Quarantine of requests that crash the targets running them."""
 
 from papayabay_daemon._internal.quarantine.fingerprint import Fingerprints
 from papayabay_daemon._internal.quarantine.gate import QuarantineGate
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
@@ -8,7 +8,7 @@
 
 CRASH_ID_BYTES = 8
 ISOLATED_RETRY_MS = 300
-"""When a suspect may come back that found another one running."""
+"""Retry delay of a suspect that is refused because another one runs."""
 
 
 class QuarantineGate:
@@ -32,7 +32,7 @@
         self.registry = registry
         self.log = log
         self.is_on = is_on
-        self.alone = None
+        self.running_suspect = None
         self.counters = {"refused": 0, "isolated": 0}
 
     def check(self, call):
@@ -41,7 +41,8 @@
         Returns
         -------
         bytes or None
-            Its fingerprint; None while no request is suspected of anything.
+            Its fingerprint; None if the registry is empty or quarantine is
+            disabled.
 
         Raises
         ------
@@ -56,16 +57,16 @@
             return fingerprint
         self.counters["refused"] += 1
         crashes = self.registry.entries[fingerprint].crash_count
-        self.note(call, fingerprint, "held back", crashes)
+        self.log_refusal(call, fingerprint, "held back", crashes)
         name = fingerprint.hex()
         detail = f"{crashes} targets have ended under it; held back as {name}"
         raise CallError(ErrorKind.QUARANTINED, detail, round(ttl_s * 1_000))
 
     @contextmanager
     def guard(self, call):
-        """Admit a call to the target, suspects one at a time.
+        """Admit a call to the target, and let suspects run one at a time.
 
-        Of two suspects in flight together, a crash could not show which one
+        If two suspects were in flight, a crash would not show which of them
         caused it.
 
         Raises
@@ -77,18 +78,18 @@
         if fingerprint is None or not self.registry.is_suspect(fingerprint):
             yield
             return
-        if self.alone is not None:
+        if self.running_suspect is not None:
             self.counters["isolated"] += 1
             crashes = len(self.registry.suspected_crashes(fingerprint))
-            self.note(call, fingerprint, "another suspect runs", crashes)
+            self.log_refusal(call, fingerprint, "another suspect runs", crashes)
             raise CallError(ErrorKind.ISOLATED, retry_after_ms=ISOLATED_RETRY_MS)
-        self.alone = fingerprint
+        self.running_suspect = fingerprint
         try:
             yield
         finally:
-            self.alone = None
+            self.running_suspect = None
 
-    def note(self, call, fingerprint, outcome, crashes):
+    def log_refusal(self, call, fingerprint, outcome, crashes):
         """Log why a call was refused."""
         self.log.note(
             "quarantine",
@@ -100,16 +101,16 @@
         )
 
     def record_answer(self, call):
-        """Exonerate the request of a call that got a whole answer."""
+        """Exonerate the request of a call that got a complete answer."""
         if not self.registry.is_empty:
             self.registry.exonerate(self.fingerprints.of(call))
 
     def target_crashed(self, crash):
-        """Record a crash of the target and the calls in flight."""
+        """Record a crash of the target, with the calls in flight."""
         started = {}
         for call in crash.calls:
-            before = started.get(call.fingerprint, call.started_at)
-            started[call.fingerprint] = max(before, call.started_at)
+            latest = started.get(call.fingerprint, call.started_at)
+            started[call.fingerprint] = max(latest, call.started_at)
         self.registry.add_crash(self.crash_id(crash), started)
 
     def crash_id(self, crash):
@@ -118,7 +119,7 @@
         return hashlib.blake2b(text.encode(), digest_size=CRASH_ID_BYTES).digest()
 
     def levels(self):
-        """Return the registry's levels, for metrics."""
+        """Return the size of the registry, for metrics."""
         return self.registry.levels()
 
     def list_entries(self):
@@ -144,6 +145,6 @@
         Raises
         ------
         ValueError
-            When it is no such text.
+            If the text is not hexadecimal.
         """
         return self.registry.exonerate(bytes.fromhex(text))
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/messages.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/messages.py
@@ -46,10 +46,11 @@
         Whether the sender has synchronized since its start.
     crashes : list of CrashMessage
     exonerated : list of (bytes, list of bytes)
-        Fingerprints, and the crashes that they are exonerated of.
+        Fingerprints, and the crashes that each is exonerated of.
     entries : list of EntryMessage
     era : int
-        Era of the store that the sender has observed; 0 for none.
+        Latest era of the store that the sender has observed; 0 for none. A new
+        era begins when the store is restored from an older copy.
     """
 
     digest: bytes
@@ -69,11 +70,13 @@
     try:
         return decode_message(payload)
     except msgspec.MsgspecError as error:
-        raise ProtocolError(f"malformed message: {str(error)[:100]}") from None
+        raise ProtocolError(
+            f"malformed quarantine message: {str(error)[:100]}"
+        ) from None
 
 
 def describe(registry, digest, complete, names=None, era=0):
-    """Return a registry as a message.
+    """Return the message that describes a registry.
 
     Parameters
     ----------
@@ -86,7 +89,7 @@
     """
     at = registry.clock()
 
-    def wanted(name):
+    def is_included(name):
         return names is None or name in names
 
     return RegistryMessage(
@@ -100,12 +103,12 @@
                 age_ms(at, crash.noted_at),
             )
             for crash in registry.crashes.values()
-            if wanted(crash.id)
+            if is_included(crash.id)
         ],
         [
             (fingerprint, list(crashes))
             for fingerprint, crashes in registry.exonerated.items()
-            if crashes and wanted(fingerprint)
+            if crashes and is_included(fingerprint)
         ],
         [
             EntryMessage(
@@ -115,7 +118,7 @@
                 age_ms(at, entry.since),
             )
             for fingerprint, entry in registry.entries.items()
-            if wanted(fingerprint)
+            if is_included(fingerprint)
         ],
         era,
     )
@@ -142,9 +145,9 @@
 
 
 class RegistryDigest:
-    """A digest of a registry, cached until that changes.
+    """A digest of a registry, cached until the registry changes.
 
-    Ages are left out: they differ between daemons with the same content.
+    Ages are left out, as they differ between daemons with the same content.
 
     Parameters
     ----------
