--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/records.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/records.py
@@ -10,8 +10,8 @@
     4: HOUR_S,
     5: 6 * HOUR_S,
 }
-"""TTL of a quarantine entry, seconds, by the number of crashes it rests on.
-Each time one expires, the request may cause one more."""
+"""TTL of a quarantine entry, seconds, by the number of crashes that the
+request is suspected of. Each expiry lets it cause one more."""
 MAX_TTL_S = 24 * HOUR_S
 
 
@@ -27,8 +27,8 @@
         Fingerprints of the calls in flight.
     repeated : frozenset of bytes
         Suspects that were already suspected of an earlier crash when they were
-        handed to this target. Calls in flight at several targets that crash
-        together are not among them.
+        forwarded to this target. If several targets crash together, the calls
+        in flight are not among them.
     noted_at : float
         Seconds on the daemon's own clock.
     """
@@ -43,8 +43,8 @@
 class QuarantineEntry:
     """A quarantined request.
 
-    Both sets only grow, so that daemons which merge their entries converge in
-    any order.
+    Both sets only grow, so that daemons converge whatever the order in which
+    they merge entries.
 
     Attributes
     ----------
@@ -67,7 +67,7 @@
 
     @property
     def ttl_s(self):
-        """Seconds that the entry holds; 0 once it was lifted."""
+        """TTL in seconds; 0 if the request is exonerated of all crashes."""
         if not self.crash_count:
             return 0.0
         return TTLS_S.get(max(self.crash_count, min(TTLS_S)), MAX_TTL_S)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/registry.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/registry.py
@@ -1,4 +1,4 @@
-"""Suspects of targets' crashes, and the requests in quarantine."""
+"""Records which requests are suspected of crashes, and quarantines them."""
 
 from collections import defaultdict
 from itertools import chain, islice, product
@@ -14,16 +14,18 @@
 
 CONFIRMING_CRASHES = 2
 """Repeated crashes after which a suspect is quarantined, however many other
-suspects they share."""
+suspects the crashes share."""
 CRASH_TTL_S = 6 * 3_600.0
 MAX_CRASHES = 64
 MAX_SUSPECTS = 256
-"""Suspects that are kept of one crash."""
+"""Suspects that are recorded per crash."""
 MAX_ENTRIES = 2_048
-ENTRY_TTL_S = MAX_TTL_S
-"""How long an expired entry is kept, so that the next crash extends it."""
-CLOCK_TOLERANCE_S = 1.0
-"""Difference up to which two ages are equal, as ages grow in transit."""
+ENTRY_RETENTION_S = MAX_TTL_S
+"""How long an expired entry is kept, so that the next crash extends its
+TTL."""
+AGE_TOLERANCE_S = 1.0
+"""Difference up to which two ages count as equal. Ages in messages do not
+include the time in transit."""
 NO_CRASHES = frozenset()
 log = logbook.Logger("papayabay.quarantine")
 
@@ -31,10 +33,11 @@
 class QuarantineRegistry:
     """Crashes of targets, their suspects, and the quarantined requests.
 
-    A crash is repeated for a suspect that had been suspected of another one
-    before it was handed to this target. A suspect is quarantined if a repeated
-    crash and another one have no other suspect in common, or after
-    `CONFIRMING_CRASHES`. Any whole answer exonerates it.
+    A crash counts as repeated for a suspect that was already suspected of
+    another crash when it was forwarded to the target. A suspect is quarantined
+    if a repeated crash and another one have no other suspect in common, or
+    after `CONFIRMING_CRASHES` repeated crashes. Any complete answer exonerates
+    it.
 
     Parameters
     ----------
@@ -44,7 +47,7 @@
     Attributes
     ----------
     crashes : dict of bytes to CrashRecord
-        By the process that crashed.
+        By the id of the process that crashed.
     crashes_of : dict of bytes to set of bytes
         Crashes by suspect.
     exonerated : dict of bytes to set of bytes
@@ -75,7 +78,7 @@
         """Whether there are neither suspects nor entries."""
         return not self.crashes_of and not self.entries
 
-    # Queries, made for each call while the registry is not empty.
+    # Queries. These run for each call while the registry is not empty.
 
     def remaining_ttl(self, fingerprint):
         """Return the seconds that a request stays quarantined, or 0."""
@@ -106,7 +109,7 @@
         return bool(self.repeated_crashes(fingerprint))
 
     def repeated_crashes(self, fingerprint):
-        """Return the crashes that are repeated ones for a request."""
+        """Return the crashes that count as repeated for a request."""
         suspected = self.suspected_crashes(fingerprint)
         return {
             name for name in suspected if fingerprint in self.crashes[name].repeated
@@ -120,10 +123,10 @@
         Parameters
         ----------
         name : bytes
-            Of the process that crashed.
+            Id of the process that crashed.
         started : dict of bytes to float
-            When each of the calls in flight was last handed to it, by
-            fingerprint.
+            By fingerprint, when each call in flight was last forwarded to the
+            process.
         """
         kept = dict(islice(started.items(), MAX_SUSPECTS))
         repeated = frozenset(
@@ -140,12 +143,12 @@
         return any(self.crashes[name].noted_at < at for name in suspected)
 
     def exonerate(self, fingerprint):
-        """Suspect a request of nothing, after an answer or by an operator.
+        """Clear a request of suspicion, after an answer or by an operator.
 
         Returns
         -------
         bool
-            Whether it was suspected of anything.
+            Whether it was suspected of any crash.
         """
         suspected = self.suspected_crashes(fingerprint)
         entry = self.entries.get(fingerprint)
@@ -155,12 +158,14 @@
         if is_quarantined:
             entry.exonerated |= entry.crashes
             self.mark_changed(fingerprint)
-            log.notice("request {} is no longer held back", fingerprint.hex())
+            log.notice(
+                "request {} released from quarantine; admitting it", fingerprint.hex()
+            )
         self.merge_exonerations(fingerprint, suspected)
         self.notify(urgent=False)
         return True
 
-    # Merging of local events and of what peers and the store report.
+    # Merging of local events, and of records of peers and the store.
 
     def merge_crash(self, record):
         """Merge a crash, and evaluate its suspects."""
@@ -174,7 +179,7 @@
         self.evaluate(record.suspects)
 
     def is_outdated(self, record):
-        """Return whether a crash would be evicted at once."""
+        """Return whether a crash has expired or would be evicted at once."""
         if self.clock() - record.noted_at >= CRASH_TTL_S:
             return True
         if len(self.crashes) < MAX_CRASHES:
@@ -182,7 +187,7 @@
         return record.noted_at <= self.oldest_crash().noted_at
 
     def oldest_crash(self):
-        """Return the crash that was noted first."""
+        """Return the crash that was recorded first."""
         return min(self.crashes.values(), key=lambda record: record.noted_at)
 
     def merge_exonerations(self, fingerprint, names):
@@ -193,11 +198,11 @@
         self.counters["cleared"] += 1
         self.exonerated[fingerprint] |= new
         self.mark_changed(fingerprint)
-        # Another suspect of the same crashes may be the only one left.
+        # Another suspect of these crashes may now be the only one.
         self.evaluate(chain.from_iterable(self.crashes[name].suspects for name in new))
 
     def merge_entry(self, fingerprint, received):
-        """Merge an entry of a peer or of the store."""
+        """Merge an entry received from a peer or read from the store."""
         entry = self.entries.get(fingerprint)
         if entry is None:
             if not self.has_capacity():
@@ -208,7 +213,7 @@
             entry.crashes |= received.crashes
             entry.exonerated |= received.exonerated
             self.mark_changed(fingerprint)
-        if received.since > entry.since + CLOCK_TOLERANCE_S:
+        if received.since > entry.since + AGE_TOLERANCE_S:
             entry.since = received.since
         self.log_change(fingerprint, entry, count_before)
 
@@ -216,30 +221,37 @@
         """Return whether another entry may be kept.
 
         Entries are never evicted for new ones: a flood of crashing requests
-        would release those in quarantine.
+        would then release the requests in quarantine.
         """
         if len(self.entries) < MAX_ENTRIES:
             return True
         self.counters["left_out"] += 1
         if self.counters["left_out"] == 1:
-            log.warning("{} quarantine entries; new ones are left out", MAX_ENTRIES)
+            log.warning(
+                "quarantine registry is full: {} entries; ignoring new ones",
+                MAX_ENTRIES,
+            )
         return False
 
     # Evaluation.
 
     def evaluate(self, fingerprints):
-        """Quarantine those of some suspects whose evidence is enough."""
+        """Quarantine the suspects against which there is enough evidence."""
         for fingerprint in set(fingerprints):
             suspected = self.suspected_crashes(fingerprint)
             entry = self.entries.get(fingerprint)
-            relapsed = entry is not None and entry.crash_count
+            was_quarantined = entry is not None and entry.crash_count
             repeated = self.repeated_crashes(fingerprint)
             confirmed = len(repeated) >= CONFIRMING_CRASHES
-            if relapsed or confirmed or self.is_sole_suspect(suspected, repeated):
+            if (
+                was_quarantined
+                or confirmed
+                or self.is_sole_suspect(suspected, repeated)
+            ):
                 self.quarantine(fingerprint, suspected)
 
     def is_sole_suspect(self, suspected, repeated):
-        """Return whether a repeated crash and another share one suspect."""
+        """Return whether a repeated crash and another have one suspect."""
         return any(
             self.count_common_suspects(one, other) == 1
             for one, other in product(repeated, suspected)
@@ -249,7 +261,9 @@
     def count_common_suspects(self, one, other):
         """Return how many requests are suspected of both of two crashes."""
         both = self.crashes[one].suspects & self.crashes[other].suspects
-        return sum(self.suspected_crashes(one_of) >= {one, other} for one_of in both)
+        return sum(
+            self.suspected_crashes(fingerprint) >= {one, other} for fingerprint in both
+        )
 
     def quarantine(self, fingerprint, suspected):
         """Quarantine a request for the crashes that it is suspected of."""
@@ -267,7 +281,7 @@
         self.log_change(fingerprint, entry, count_before)
 
     def log_change(self, fingerprint, entry, count_before):
-        """Log that a request is quarantined, or for longer than before."""
+        """Log that a request is quarantined, or that its TTL has grown."""
         count = entry.crash_count
         if count <= count_before:
             return
@@ -284,10 +298,10 @@
     def evict_crashes(self):
         """Evict the oldest crashes beyond `MAX_CRASHES`."""
         while len(self.crashes) > MAX_CRASHES:
-            self.forget_crash(self.oldest_crash())
+            self.remove_crash(self.oldest_crash())
 
-    def forget_crash(self, record):
-        """Forget a crash and its suspects."""
+    def remove_crash(self, record):
+        """Remove a crash, and its suspects unless other crashes name them."""
         self.revision += 1
         del self.crashes[record.id]
         for fingerprint in record.suspects:
@@ -299,7 +313,7 @@
                 del self.exonerated[fingerprint]
 
     def expire(self):
-        """Forget outdated crashes and entries.
+        """Remove crashes and entries whose retention has ended.
 
         Returns
         -------
@@ -309,11 +323,11 @@
         at = self.clock()
         for record in list(self.crashes.values()):
             if at - record.noted_at >= CRASH_TTL_S:
-                self.forget_crash(record)
+                self.remove_crash(record)
         expired = [
             fingerprint
             for fingerprint, entry in self.entries.items()
-            if at - entry.expires_at >= ENTRY_TTL_S
+            if at - entry.expires_at >= ENTRY_RETENTION_S
         ]
         for fingerprint in expired:
             del self.entries[fingerprint]
@@ -334,16 +348,16 @@
                 listener(urgent)
 
     def take_pending(self):
-        """Return the pending updates, and have none from then on."""
+        """Return the pending updates, and clear them."""
         pending, self.pending = self.pending, set()
         return pending
 
     def levels(self):
-        """Return how much is kept, for metrics."""
+        """Return the size of the registry, for metrics."""
         at = self.clock()
-        held = sum(entry.expires_at > at for entry in self.entries.values())
+        quarantined = sum(entry.expires_at > at for entry in self.entries.values())
         return {
             "ends": len(self.crashes),
             "suspects": len(self.crashes_of),
-            "held": held,
+            "held": quarantined,
         }
