--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
@@ -21,37 +21,39 @@
 """Members that local updates are sent to: all of a small fleet."""
 FORWARD_FAN_OUT = 4
 """Members that each member of a larger fleet forwards updates to."""
-PARTNERS = 8
-"""Members that the registry is reconciled with in turn. They are kept, so that
-few links are made for it."""
+PARTNER_COUNT = 8
+"""Members that the registry is reconciled with in turn. They stay the same, so
+that reconciliation opens few links."""
 BATCH_DELAY_S = 0.05
-"""How long updates are batched, but for crashes: calls that a crash has cut
-are retried within milliseconds."""
+"""How long updates are batched. Crashes are sent at once, because the calls
+that a crash has interrupted are retried within milliseconds."""
 RECONCILE_INTERVAL_S = 1.0
 START_DELAY_S = 1.0
 """Delay of the first synchronization. By then a daemon knows its peers, and
 need not read the store."""
 SYNC_RETRY_S = 0.25
+"""First delay between attempts to synchronize; it grows up to
+`RECONCILE_INTERVAL_S`."""
 log = logbook.Logger("papayabay.quarantine")
 
 
 class QuarantinePropagation:
     """Propagates updates at once, and reconciles registries periodically.
 
-    Updates go to all members of a small fleet directly, and from member to
-    member in a large one. A daemon that has started or was isolated
-    synchronizes with a peer that has done so itself.
+    In a small fleet, updates are sent to all members directly; in a large one,
+    the members that receive them forward them. A daemon that has started or
+    was isolated synchronizes with a peer that is synchronized itself.
 
     Parameters
     ----------
     registry : QuarantineRegistry
     members : Membership
-        Besides `Members`: `silence`.
+        Used as `Members`, and for `silence`.
     links : Links
     rows : QuarantineRows
-        Read where no peer can be asked.
+        Read from the store if no peer is synchronized.
     readers : Readers
-        Preferred as peers to synchronize with.
+        Daemons that read the store; preferred as peers to synchronize with.
     random : random.Random
     """
 
@@ -63,8 +65,8 @@
         self.readers = readers
         self.random = random
         self.digest = RegistryDigest(registry)
-        self.due = asyncio.Event()
-        self.urgent = asyncio.Event()
+        self.updates_ready = asyncio.Event()
+        self.urgent_update = asyncio.Event()
         self.partners = []
         self.is_synchronized = False
         self.was_isolated = False
@@ -72,7 +74,7 @@
         self.service = ""
         self.counters = {"told": 0, "heard": 0, "evened_out": 0, "peer_errors": 0}
         registry.listeners.append(self.updates_pending)
-        links.handle_requests(TOPIC, self.answer)
+        links.handle_requests(TOPIC, self.handle_request)
 
     async def run(self):
         """Propagate, reconcile and synchronize until cancelled."""
@@ -84,27 +86,33 @@
 
     # Exchanges with peers.
 
-    async def answer(self, payload, peer):
-        """Merge a peer's message; answer with what it may lack."""
+    async def handle_request(self, payload, peer):
+        """Merge a peer's message; answer with the registry if it differs."""
         message = decode(payload)
-        known = self.digest.current()
+        before = self.digest.current()
         self.receive(message)
-        own = self.digest.current()
-        return self.message(() if message.digest in (own, known) else None)
+        after = self.digest.current()
+        return self.message(() if message.digest in (after, before) else None)
 
     def message(self, names):
         """Return the registry, or a part of it, as an encoded message."""
-        own, era = self.digest.current(), self.rows.table.era.current
+        digest, era = self.digest.current(), self.rows.table.era.current
         complete = self.is_synchronized
-        return encode(describe(self.registry, own, complete, names, era or 0))
+        return encode(describe(self.registry, digest, complete, names, era or 0))
 
     async def exchange(self, peer, names=()):
         """Send a peer a part of the registry, and merge its answer.
 
+        Parameters
+        ----------
+        peer : Member
+        names : set of bytes or None
+            Crashes and fingerprints to send; None for all.
+
         Returns
         -------
         RegistryMessage or None
-            None when the peer did not answer.
+            None if the peer did not answer.
         """
         request = self.message(names)
         try:
@@ -113,16 +121,20 @@
             )
         except (ProtocolError, OSError, TimeoutError) as error:
             self.counters["peer_errors"] += 1
-            log.info("no quarantine updates from {}: {!r}", peer.name, error)
+            log.info(
+                "quarantine exchange with {} failed: {!r}; skipping it",
+                peer.name,
+                error,
+            )
             return None
         self.receive(answer)
         return answer
 
     def receive(self, message):
-        """Merge a peer's message, and forward what is new of it.
+        """Merge a peer's message, and forward the updates that are new.
 
-        Local updates stay pending: they go to more members than forwarded
-        ones.
+        Local updates stay pending, because they are sent to more members than
+        forwarded ones.
         """
         local = self.registry.take_pending()
         merge(self.registry, message)
@@ -140,44 +152,44 @@
 
     def updates_pending(self, urgent):
         """Schedule the propagation of local updates."""
-        self.due.set()
+        self.updates_ready.set()
         if urgent:
-            self.urgent.set()
+            self.urgent_update.set()
 
     async def next_batch(self):
-        """Wait for updates, and for more of them unless one is urgent."""
-        await self.due.wait()
-        await wait_event(self.urgent, BATCH_DELAY_S)
-        self.due.clear()
-        self.urgent.clear()
+        """Wait for updates, and batch them unless one is urgent."""
+        await self.updates_ready.wait()
+        await wait_event(self.urgent_update, BATCH_DELAY_S)
+        self.updates_ready.clear()
+        self.urgent_update.clear()
 
     async def run_propagation(self):
-        """Send local updates to others."""
+        """Send batches of local updates to other members."""
         while True:
             await self.next_batch()
             pending = self.registry.take_pending()
-            for peer in self.first_peers():
+            for peer in self.initial_peers():
                 self.group.create_task(self.propagate(peer, pending))
 
-    def first_peers(self):
+    def initial_peers(self):
         """Return the members that local updates are sent to."""
-        beside = self.members.upstreams(self.service) if self.service else []
-        beside = beside[: FAN_OUT // 2]
+        serving = self.members.upstreams(self.service) if self.service else []
+        serving = serving[: FAN_OUT // 2]
         drawn = random_peers(self.members, FAN_OUT, self.random)
-        chosen = {peer.name: peer for peer in [*beside, *drawn]}
+        chosen = {peer.name: peer for peer in [*serving, *drawn]}
         chosen.pop(self.members.local.name, None)
         return list(chosen.values())[:FAN_OUT]
 
     async def propagate(self, peer, pending):
-        """Send a peer some updates."""
+        """Send updates to a peer."""
         self.counters["told"] += 1
         await self.exchange(peer, pending)
 
     def forward(self, pending):
-        """Forward received updates, unless all members were sent them."""
+        """Forward received updates, unless the sender reached all members."""
         if not pending:
             return
-        self.rows.wanted.set()
+        self.rows.write_requested.set()
         if self.group is None or len(self.members.live()) <= FAN_OUT:
             return
         for peer in random_peers(self.members, FORWARD_FAN_OUT, self.random):
@@ -186,7 +198,7 @@
     # Reconciliation.
 
     async def run_reconciliation(self):
-        """Synchronize, then reconcile with one partner after the other."""
+        """Synchronize, then reconcile with the partners in turn."""
         await asyncio.sleep(START_DELAY_S)
         pause = SYNC_RETRY_S
         while True:
@@ -206,34 +218,34 @@
         if self.registry.is_empty:
             return
         self.rows.expire()
-        self.rows.wanted.set()
+        self.rows.write_requested.set()
         peer = self.next_partner()
         if peer is not None:
             self.counters["evened_out"] += 1
             await self.reconcile(peer)
 
     async def reconcile(self, peer):
-        """Exchange whole registries with a peer if the digests differ."""
+        """Exchange full registries with a peer if the digests differ."""
         answer = await self.exchange(peer)
         if answer is not None and answer.digest != self.digest.current():
             await self.exchange(peer, None)
 
     def next_partner(self):
-        """Return the partner whose turn it is, or None without any."""
+        """Return the next partner, or None if there is no peer."""
         kept = [name for name in self.partners if self.members.get(name)]
-        if len(kept) < PARTNERS:
-            drawn = random_peers(self.members, PARTNERS, self.random)
+        if len(kept) < PARTNER_COUNT:
+            drawn = random_peers(self.members, PARTNER_COUNT, self.random)
             kept += [peer.name for peer in drawn if peer.name not in kept]
         if not kept:
             return None
-        name, *others = kept[:PARTNERS]
+        name, *others = kept[:PARTNER_COUNT]
         self.partners = [*others, name]
         return self.members.get(name)
 
     # Synchronization.
 
     async def synchronize(self):
-        """Ask a peer or the store; return whether that was complete."""
+        """Synchronize with a peer or the store; return whether it is done."""
         peer = self.draw_sync_peer()
         if peer is not None:
             answer = await self.exchange(peer)
@@ -245,14 +257,17 @@
         return True
 
     def detect_isolation(self):
-        """Synchronize again after this daemon received nothing for long."""
+        """Require synchronization again after a long silence has ended."""
         if self.members.silence() > self.readers.longest_silence:
             self.was_isolated = True
         elif self.was_isolated:
             self.was_isolated = self.is_synchronized = False
 
     def draw_sync_peer(self):
-        """Return a reader of the store or any member, with equal chances."""
+        """Return a random reader of the store, or else a random member.
+
+        Both are equally likely.
+        """
         local = self.members.local
         readers = [peer for peer in self.readers.current() if peer is not local]
         if readers and self.random.random() < 0.5:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/rows.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/rows.py
@@ -1,4 +1,4 @@
-"""Quarantine entries in the platform's store, which outlast all daemons."""
+"""Keeps quarantine entries in the platform's store across restarts."""
 
 import asyncio
 import time
@@ -19,10 +19,11 @@
 
 
 class QuarantineRows:
-    """Stores entries, one row each, and loads them at the start.
+    """Writes entries to the store, one row each, and reads them at the start.
 
     Each row has one owner among the members, which writes it as soon as the
-    store answers. Suspects are not stored: the next crashes show them again.
+    store is available. Suspects are not stored: the next crashes reveal them
+    again.
 
     Parameters
     ----------
@@ -35,51 +36,51 @@
         self.registry = registry
         self.table = table
         self.members = members
-        self.outage = Outage(log, "rows of requests held back")
+        self.outage = Outage(log, "store of quarantine entries")
         self.stored = {}
-        self.dropped = []
-        self.came_back_at = None
+        self.expired = []
+        self.restored_at = None
         self.owners = {}
-        self.live = None
+        self.live_members = None
         self.counters = {"rows_read": 0, "rows_written": 0, "store_errors": 0}
-        self.wanted = asyncio.Event()
-        registry.listeners.append(lambda urgent: self.wanted.set())
-        table.era.listeners.append(self.store_came_back)
+        self.write_requested = asyncio.Event()
+        registry.listeners.append(lambda urgent: self.write_requested.set())
+        table.era.listeners.append(self.store_restored)
 
     async def run(self):
         """Write the rows that this daemon owns, until cancelled."""
         while True:
-            await self.wanted.wait()
-            self.wanted.clear()
-            while not await self.keep():
+            await self.write_requested.wait()
+            self.write_requested.clear()
+            while not await self.write_due():
                 await asyncio.sleep(RETRY_DELAY_S)
             self.log_restored()
 
-    def store_came_back(self):
-        """Write all rows again: a restored store may have lost them."""
+    def store_restored(self):
+        """Write all rows again, as the restored store may lack them."""
         self.stored.clear()
-        self.came_back_at = self.registry.clock()
-        self.wanted.set()
+        self.restored_at = self.registry.clock()
+        self.write_requested.set()
 
     def observe_era(self, era):
-        """Take over the era that a peer has observed.
+        """Take over a newer era of the store that a peer has observed.
 
         The owner of a row may never read the store, and would not notice that
-        the row is lost.
+        a restored store lacks the row.
         """
         if era > (self.table.era.current or 0):
             self.table.era.note(era)
 
     def log_restored(self):
-        """Log, once, that all rows are stored again."""
-        if self.came_back_at is None:
+        """Log once that all rows are in the restored store."""
+        if self.restored_at is None:
             return
         log.notice(
             "{} requests held back are in the store again, {:.1f} s after it came back",
             len(self.stored),
-            self.registry.clock() - self.came_back_at,
+            self.registry.clock() - self.restored_at,
         )
-        self.came_back_at = None
+        self.restored_at = None
 
     async def read(self):
         """Merge all rows; return whether the store could be read."""
@@ -92,12 +93,12 @@
                 if len(rows) < PAGE_ROWS:
                     break
         except (PlatformError, TimeoutError) as error:
-            self.failed(error)
+            self.record_failure(error)
             return False
         self.outage.worked()
         return True
 
-    def failed(self, error):
+    def record_failure(self, error):
         """Count a failure of the store."""
         self.counters["store_errors"] += 1
         self.outage.failed(error)
@@ -108,7 +109,9 @@
             fingerprint = bytes.fromhex(row.key.removeprefix(PREFIX))
             entry = self.parse(row.value)
         except (KeyError, TypeError, ValueError) as error:
-            log.warning("row {} is malformed and skipped: {!r}", row.key, error)
+            log.warning(
+                "quarantine row {} is malformed: {!r}; skipping it", row.key, error
+            )
             return
         self.registry.merge_entry(fingerprint, entry)
         self.stored[fingerprint] = content_of(entry)
@@ -117,9 +120,9 @@
     def parse(self, value):
         """Return the entry of a row.
 
-        Wall clocks may differ between writer and reader. An age is therefore
-        bounded by 0 and the TTL; beyond it, the row would be deleted here
-        while it is still valid elsewhere.
+        Wall clocks may differ between writer and reader, so the age is limited
+        to the range from 0 to the TTL. Beyond the TTL, this daemon would
+        delete a row that is still valid at others.
         """
         entry = QuarantineEntry(
             {bytes.fromhex(name) for name in value["ends"]},
@@ -133,13 +136,13 @@
         """Expire entries, and schedule the deletion of their rows."""
         for fingerprint in self.registry.expire():
             if self.stored.pop(fingerprint, None) and self.is_owner(fingerprint):
-                self.dropped.append(fingerprint)
+                self.expired.append(fingerprint)
 
     def is_owner(self, fingerprint):
         """Return whether this daemon owns the row of a request."""
         live = self.members.live()
-        if live is not self.live:
-            self.live = live
+        if live is not self.live_members:
+            self.live_members = live
             self.owners = {}
         if fingerprint not in self.owners:
             self.owners[fingerprint] = self.pick_owner(fingerprint, live)
@@ -150,7 +153,7 @@
         (owner,) = pick_by_rendezvous(live, fingerprint.hex(), 1)
         return owner
 
-    def due(self):
+    def due_fingerprints(self):
         """Return the fingerprints whose rows this daemon has to write."""
         return [
             fingerprint
@@ -159,19 +162,19 @@
             and self.is_owner(fingerprint)
         ]
 
-    async def keep(self):
-        """Write the rows that are due; return whether all were."""
+    async def write_due(self):
+        """Write and delete the rows that are due; return whether all were."""
         try:
-            for fingerprint in self.due():
+            for fingerprint in self.due_fingerprints():
                 await self.write(fingerprint)
-            while self.dropped:
-                await self.table.write([Put(key_of(self.dropped[-1]), None)])
-                self.dropped.pop()
+            while self.expired:
+                await self.table.write([Put(key_of(self.expired[-1]), None)])
+                self.expired.pop()
         except ConditionFailed:
-            # Another daemon has written the row; it is read by the next try.
+            # Another daemon has written the row; the next try reads it first.
             return False
         except (PlatformError, TimeoutError) as error:
-            self.failed(error)
+            self.record_failure(error)
             return False
         self.outage.worked()
         return True
@@ -203,5 +206,5 @@
 
 
 def content_of(entry):
-    """Return what of an entry its row has to hold."""
+    """Return the sets that an entry's row has to contain."""
     return frozenset(entry.crashes), frozenset(entry.exonerated)
--- a/tests/unit/daemon/test_quarantine_fleet.py
+++ b/tests/unit/daemon/test_quarantine_fleet.py
@@ -109,7 +109,7 @@
             for daemon in (first, second):
                 daemon.running["t"] = fleet.make_call("/browse/1"), fleet.clock()
                 daemon.crash()
-            await first.spread.answer(
+            await first.spread.handle_request(
                 encode(describe(second.book, b"other", True)), second.name
             )
             await fleet.settle(PROPAGATION_DELAY_S)
@@ -126,7 +126,7 @@
             await fleet.play(4.0)
             fleet.table.rows.clear()
             last = fleet.daemons[-1]
-            await last.spread.answer(
+            await last.spread.handle_request(
                 encode(describe(last.book, b"other", True, (), era=2)), "any"
             )
             await fleet.settle(CONTACT_S)
--- a/tests/unit/daemon/test_quarantine_registry.py
+++ b/tests/unit/daemon/test_quarantine_registry.py
@@ -183,7 +183,7 @@
             self.table.rows[f"quarantine/{key}"] = Row(f"quarantine/{key}", value, 1)
         self.end(b"p")
         self.end(b"p")
-        self.assertTrue(asyncio.run(self.rows(self.book).keep()))
+        self.assertTrue(asyncio.run(self.rows(self.book).write_due()))
         other = self.new_book()
         self.assertTrue(asyncio.run(self.rows(other).read()))
         self.assertEqual(list(other.entries), [b"p"])
@@ -191,24 +191,24 @@
     def test_a_time_of_day_that_was_set_wrong_drops_no_row(self):
         self.end(b"p")
         self.end(b"p")
-        asyncio.run(self.rows(self.book).keep())
+        asyncio.run(self.rows(self.book).write_due())
         (key,) = self.table.rows
         self.table.rows[key].value["since"] -= 1e6
         other = self.new_book()
         rows = self.rows(other)
         asyncio.run(rows.read())
         rows.expire()
-        asyncio.run(rows.keep())
+        asyncio.run(rows.write_due())
         self.assertEqual(list(self.table.rows), [key])
 
     def test_a_row_goes_when_its_verdict_is_forgotten(self):
         self.end(b"p")
         self.end(b"p")
         rows = self.rows(self.book)
-        asyncio.run(rows.keep())
+        asyncio.run(rows.write_due())
         self.at += 25 * HOUR_S
         rows.expire()
-        asyncio.run(rows.keep())
+        asyncio.run(rows.write_due())
         self.assertEqual(self.table.rows, {})
 
 
--- a/tests/unit/platform/test_store_eras.py
+++ b/tests/unit/platform/test_store_eras.py
@@ -100,11 +100,11 @@
         members = SimpleNamespace(local=member, live=lambda: [member])
         rows = QuarantineRows(book, self.table, members)
         copy = self.store.copy()
-        await rows.keep()
+        await rows.write_due()
         self.assertEqual(len(self.store.rows), 1)
         await self.store.restore(copy)
         await self.table.get("any")
-        await rows.keep()
+        await rows.write_due()
         self.assertEqual(len(self.store.rows), 1)
 
 
