--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/registry.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/registry.py
@@ -251,7 +251,10 @@
                 self.quarantine(fingerprint, suspected)
 
     def is_sole_suspect(self, suspected, repeated):
-        """Return whether a repeated crash and another have one suspect."""
+        """Return whether two crashes have no other suspect in common.
+
+        One of the two has to be a repeated crash.
+        """
         return any(
             self.count_common_suspects(one, other) == 1
             for one, other in product(repeated, suspected)
