--- a/tests/unit/daemon/budget_fleet.py
+++ b/tests/unit/daemon/budget_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons beside a service's targets in virtual time, and their budget."""
+"""Simulates a service's daemons and their retry budget in virtual time."""
 
 from bisect import bisect_left
 from contextlib import nullcontext
@@ -19,8 +19,8 @@
 )
 
 
-class BesideTarget:
-    """One daemon beside a target: the real receiver, all else scripted.
+class TargetDaemon:
+    """One daemon beside a target: a real receiver and budget, the rest fake.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
         self.restart()
 
     def restart(self):
-        """Begin anew, as a process that was killed does."""
+        """Discard all state, as a process that is killed and restarted."""
         fleet = self.fleet
         self.budget = ArrivalBudget(
             lambda: fleet.policy, lambda service: len(fleet.daemons), lambda: fleet.at
@@ -53,38 +53,38 @@
         self.receiver = Receiver(parts, CallTree(), chains, self.budget)
 
     def guard(self, call):
-        """Suspect no request."""
+        """Treat no request as suspect."""
         return nullcontext()
 
     def check(self, call):
-        """Hold no request back."""
+        """Treat no request as quarantined."""
 
     def load(self, path_key):
-        """Return the load that answers tell of."""
+        """Return the load that answers report."""
         return LoadState()
 
     async def admit(self, call):
-        """Refuse a call for overload as the fleet's script says."""
-        if self.fleet.chance(self.fleet.overloaded):
+        """Refuse a share of the calls for overload."""
+        if self.fleet.draw(self.fleet.overload_share):
             raise CallError(ErrorKind.OVERLOADED)
         return SimpleNamespace(finish=lambda answer: None)
 
     async def run(self, call, token):
-        """Take an arrival; turn it away as the fleet's script says."""
-        if self.fleet.chance(self.fleet.unreachable):
+        """Run a call, unless the target is unreachable or rejects it."""
+        if self.fleet.draw(self.fleet.unreachable_share):
             raise CallError(ErrorKind.TARGET_UNREACHABLE)
         self.fleet.arrived(call)
-        if self.fleet.chance(self.fleet.turned_away):
+        if self.fleet.draw(self.fleet.rejection_share):
             raise CallError(ErrorKind.TARGET_REJECTED)
         return Answer(200)
 
     def receive(self, call):
-        """Return the answer to a call; nothing in it ever waits."""
+        """Return the answer to a call; the coroutine never suspends."""
         try:
             self.receiver.receive(call, "caller").send(None)
         except StopIteration as end:
             return end.value
-        raise AssertionError("a scripted call waited")
+        raise AssertionError("the receiver suspended; only synchronous fakes are used")
 
 
 class BudgetFleet:
@@ -94,70 +94,70 @@
     ----------
     at : float
         Seconds.
-    overloaded, unreachable, turned_away : float
-        Share of calls that daemons refuse for load, that find no way to the
-        target beside the daemon, and that targets turn away.
-    asked : list of float
-        When requests were sent that no repeated run made.
-    repeats : list of float
-        When a target got an arrival beyond the first of its request, or one
-        made by a repeated run.
+    overload_share, unreachable_share, rejection_share : float
+        Share of calls that daemons refuse for overload, that can't reach the
+        target beside the daemon, and that targets reject.
+    first_requests : list of float
+        When requests were sent that were not made by a retried run.
+    retries : list of float
+        When a target received a call that was not the first of its request, or
+        that was made by a retried run.
     """
 
     def __init__(self, size, rng, policy=None):
         self.at = 1_000.0
         self.rng = rng
         self.policy = policy or budget_policy()
-        self.overloaded = self.unreachable = self.turned_away = 0.0
-        self.asked, self.repeats = [], []
-        self.seen = set()
+        self.overload_share = self.unreachable_share = self.rejection_share = 0.0
+        self.first_requests, self.retries = [], []
+        self.reached_ids = set()
         self.ids = count()
         self.daemons = []
         self.resize(size)
 
     def resize(self, size):
-        """Let daemons join, or the oldest leave, until so many are there."""
+        """Add daemons, or remove the oldest, to reach a size."""
         del self.daemons[: max(0, len(self.daemons) - size)]
         while len(self.daemons) < size:
-            self.daemons.append(BesideTarget(self, len(self.daemons)))
+            self.daemons.append(TargetDaemon(self, len(self.daemons)))
 
-    def chance(self, share):
-        """Return true in a share of the cases."""
+    def draw(self, share):
+        """Return True with the probability of a share."""
         return share > 0.0 and self.rng.random() < share
 
     def arrived(self, call):
-        """Note that a call has reached a target."""
-        if call.request_id in self.seen:
-            self.repeats.append(self.at)
-        self.seen.add(call.request_id)
+        """Record that a call has reached a target."""
+        if call.request_id in self.reached_ids:
+            self.retries.append(self.at)
+        self.reached_ids.add(call.request_id)
 
-    def call(self, importance=Importance.CRITICAL, of_repeat=False, attempts=4):
-        """Send one call as a daemon does; return whether it is served.
+    def call(self, importance=Importance.CRITICAL, from_retry=False, max_attempts=4):
+        """Send one call with its retries; return whether it succeeded.
 
         Parameters
         ----------
         importance : Importance
-        of_repeat : bool
-            Whether the run that makes it was itself a repeat.
-        attempts : int
+        from_retry : bool
+            Whether the run that makes the call is itself a retry.
+        max_attempts : int
         """
         name = str(next(self.ids))
-        if of_repeat:
-            self.seen.add(name)
+        if from_retry:
+            self.reached_ids.add(name)
         else:
-            self.asked.append(self.at)
-        tries = Attempts()
-        for daemon in self.rng.choices(self.daemons, k=attempts):
-            repeated = of_repeat or tries.reached_target
+            self.first_requests.append(self.at)
+        attempts = Attempts()
+        for daemon in self.rng.choices(self.daemons, k=max_attempts):
+            repeated = from_retry or attempts.reached_target
             call = make_call(name, repeated, importance)
             answer = daemon.receive(call)
             if answer.kind is None:
                 return True
-            tries.ended(daemon.name, answer)
+            attempts.ended(daemon.name, answer)
         return False
 
-    def play(self, seconds, rate, **call):
-        """Send calls for a time; return the share that was served."""
+    def run(self, seconds, rate, **call):
+        """Send calls for a time; return the share that succeeded."""
         end, served, sent = self.at + seconds, 0, 0
         while True:
             self.at += self.rng.expovariate(rate)
@@ -168,26 +168,26 @@
         self.at = end
         return served / max(1, sent)
 
-    def worst_use(self):
+    def max_budget_use(self):
         """Return the largest share of the budget used in any window.
 
-        Requests count in the window itself, in the one half a window before
-        it or in the one before it, whichever has most. A window that holds
-        most begins with a repeat.
+        The requests are those of the window itself, of the one that begins
+        half a window earlier, or of the one before, whichever are most.
+        Windows that begin with a retry suffice, as a maximum begins with one.
         """
-        return max(map(self.use_from, range(len(self.repeats))), default=0.0)
+        return max(map(self.budget_use_from, range(len(self.retries))), default=0.0)
 
-    def use_from(self, index):
-        """Return the share used in the window that begins with a repeat."""
-        begin = self.repeats[index]
+    def budget_use_from(self, index):
+        """Return the share used in the window that begins with a retry."""
+        begin = self.retries[index]
         window_s, half_s = WINDOW_S, WINDOW_S / 2
-        used = bisect_left(self.repeats, begin + window_s) - index
+        used = bisect_left(self.retries, begin + window_s) - index
         starts = begin, begin - half_s, begin - window_s
-        requests = max(self.asked_within(start, window_s) for start in starts)
+        requests = max(self.requests_within(start, window_s) for start in starts)
         retries = self.policy.retries(SERVICE)
         return used / (retries.ratio * requests + retries.window_repeats)
 
-    def asked_within(self, start, seconds):
-        """Return how many requests were sent in a span of time."""
-        first = bisect_left(self.asked, start)
-        return bisect_left(self.asked, start + seconds) - first
+    def requests_within(self, start, seconds):
+        """Return how many requests were sent in a period."""
+        first = bisect_left(self.first_requests, start)
+        return bisect_left(self.first_requests, start + seconds) - first
--- a/tests/unit/daemon/budget_support.py
+++ b/tests/unit/daemon/budget_support.py
@@ -1,4 +1,4 @@
-"""A service's budget of repeats, and calls that are counted for it."""
+"""Fixtures for tests of a service's retry budget."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 def budget_policy(**changes):
-    """Return a policy with a budget of repeats for the service."""
+    """Return a policy with a retry budget for the service."""
     retries = {
         "ratio": RATIO,
         "window_ms": int(WINDOW_S * 1_000),
@@ -35,7 +35,7 @@
 
 
 class BudgetCase(unittest.TestCase):
-    """One daemon's account at a clock of the test's own."""
+    """Base of tests of one daemon's budget, with a simulated clock."""
 
     def setUp(self):
         self.at = 100.0
@@ -49,31 +49,31 @@
         budget.window_for(SERVICE, WINDOW_S)
         return budget
 
-    def warm(self, **changes):
-        """Return the budget of a daemon that has run for a while."""
+    def warm_budget(self, **changes):
+        """Return the budget of a daemon that has run for a whole window."""
         budget = self.budget(**changes)
         self.at += WINDOW_S
         return budget
 
-    def firsts(self, budget, count):
+    def send_first_attempts(self, budget, count):
         for _ in range(count):
             budget.record_arrival(make_call(), budget.check(make_call()))
 
-    def steady(self, budget, count):
-        """Let first attempts come evenly for a window and the one before."""
+    def send_steadily(self, budget, count):
+        """Spread first attempts evenly over two windows."""
         for _ in range(2 * count):
-            self.firsts(budget, 1)
+            self.send_first_attempts(budget, 1)
             self.at += WINDOW_S / count
 
-    def allowed(self, budget, tries, importance=Importance.CRITICAL):
-        return sum(self.allow(budget, importance) for _ in range(tries))
+    def admit_many(self, budget, count, importance=Importance.CRITICAL):
+        return sum(self.admit(budget, importance) for _ in range(count))
 
-    def allow(self, budget, importance=Importance.CRITICAL):
-        repeat = make_call(repeated=True, importance=importance)
+    def admit(self, budget, importance=Importance.CRITICAL):
+        retry = make_call(repeated=True, importance=importance)
         try:
-            account = budget.check(repeat)
+            window = budget.check(retry)
         except CallError as error:
             self.assertEqual(error.kind, ErrorKind.RETRIES_SPENT)
             return False
-        budget.record_arrival(repeat, account)
+        budget.record_arrival(retry, window)
         return True
