--- a/tests/unit/daemon/routing_support.py
+++ b/tests/unit/daemon/routing_support.py
@@ -1,4 +1,4 @@
-"""A routing table with members of its own, and calls to send."""
+"""Fixtures for tests of routing: members, calls, answers and a table."""
 
 import random
 import unittest
@@ -13,7 +13,8 @@
 from papayabay_daemon._internal.interfaces import Member
 from papayabay_daemon._internal.routing import RoutingTable
 
-CLASS_EDGE = level_of(Importance.NORMAL, 0) - 1
+CRITICAL_ONLY = level_of(Importance.NORMAL, 0) - 1
+"""Admission level at which only critical calls are admitted."""
 
 
 def member(name, domain="d1", incarnation=1, slots=10):
@@ -25,15 +26,15 @@
                 path_key=path_key)  # fmt: skip
 
 
-def good(load=None, status=200):
+def target_answer(load=None, status=200):
     return Answer(status, load=load)
 
 
-def failed(kind, load=None):
+def error_answer(kind, load=None):
     return Answer(503, kind=kind, load=load)
 
 
-def busy(admit_level=ADMIT_ALL):
+def high_load(admit_level=ADMIT_ALL):
     return LoadState(in_flight=10, queued=5, limit=10, admit_level=admit_level)
 
 
@@ -52,25 +53,25 @@
     def set_policy(self, **decisions):
         self.policy = Policy(validate_policy({"decisions": decisions}, "test"))
 
-    def end(self, upstream, answer, elapsed=0.01, a_call=None):
+    def run_attempt(self, upstream, result, elapsed=0.01, a_call=None):
         a_call = a_call or call()
         self.table.choose(a_call, ())
         self.table.started(upstream, a_call)
-        self.table.ended(upstream, a_call, answer, elapsed)
+        self.table.ended(upstream, a_call, result, elapsed)
 
-    def spread(self, count=400, a_call=None):
+    def count_choices(self, count=400, a_call=None):
         chosen = (self.table.choose(a_call or call(), ()) for _ in range(count))
         return Counter(upstream.name for upstream in chosen)
 
-    def refuse_all(self, admit_level=CLASS_EDGE):
+    def refuse_all(self, admit_level=CRITICAL_ONLY):
         for upstream in self.upstreams:
-            self.end(
+            self.run_attempt(
                 upstream,
-                failed(ErrorKind.OVERLOADED, busy(admit_level)),
+                error_answer(ErrorKind.OVERLOADED, high_load(admit_level)),
                 a_call=call(Importance.CRITICAL),
             )
 
-    def refused(self, a_call):
+    def assert_refused(self, a_call):
         with self.assertRaises(CallError) as caught:
             for _ in range(20):
                 self.table.choose(a_call, ())
--- a/tests/unit/daemon/test_ejection_lines.py
+++ b/tests/unit/daemon/test_ejection_lines.py
@@ -1,10 +1,10 @@
-"""Log lines on upstreams left out: one per stretch, not one per ejection."""
+"""Successive ejections of an upstream are logged once."""
 
 import logbook
 
 from papayabay_core.errors import ErrorKind
 from papayabay_daemon._internal.routing.ejection import MAX_EJECTION_SECONDS
-from tests.unit.daemon import test_routing_table as routing
+from tests.unit.daemon import routing_support as routing
 
 FAILURES = 3
 
@@ -16,25 +16,25 @@
         self.logged.push_application()
         self.addCleanup(self.logged.pop_application)
 
-    def test_one_line_out_and_one_back(self):
-        """Symptom: a line every few seconds for each dead upstream.
+    def test_ejection_and_return_are_logged_once_each(self):
+        """Each dead upstream caused a log line every few seconds.
 
-        Sequence: an upstream fails, is tried again and fails, for minutes;
-        an answer of before comes while it is out; then it answers. Cause:
-        a line for each ejection.
+        For minutes, an upstream fails, is tried again after its ejection and
+        fails again. The answer to an earlier call arrives during an ejection,
+        and must not count as the upstream's return.
         """
         upstream = self.upstreams[0]
         for _ in range(5):
             for _ in range(FAILURES):
-                self.end(upstream, routing.failed(ErrorKind.LINK_LOST))
+                self.run_attempt(upstream, routing.error_answer(ErrorKind.LINK_LOST))
             self.at += MAX_EJECTION_SECONDS
-        self.end(upstream, routing.failed(ErrorKind.LINK_LOST))
-        self.end(upstream, routing.good())
+        self.run_attempt(upstream, routing.error_answer(ErrorKind.LINK_LOST))
+        self.run_attempt(upstream, routing.target_answer())
         self.at += MAX_EJECTION_SECONDS
-        out = "upstreams ejected after failures: 1 (first: u0)"
-        self.assertEqual([record.message for record in self.logged.records], [out])
+        ejected = "upstreams ejected after failures: 1 (first: u0)"
+        self.assertEqual([record.message for record in self.logged.records], [ejected])
         for _ in range(2):
-            self.end(upstream, routing.good())
-        back = "upstreams answer again: 1 (first: u0)"
+            self.run_attempt(upstream, routing.target_answer())
+        returned = "upstreams answer again: 1 (first: u0)"
         lines = [record.message for record in self.logged.records]
-        self.assertEqual(lines, [out, back])
+        self.assertEqual(lines, [ejected, returned])
--- a/tests/unit/daemon/test_routing_refusals.py
+++ b/tests/unit/daemon/test_routing_refusals.py
@@ -1,178 +1,186 @@
+"""Routing avoids upstreams that refuse calls, fail, or are leaving."""
+
 from papayabay_core.calls import LoadState
 from papayabay_core.errors import ErrorKind
-from papayabay_core.importance import ADMIT_ALL, Importance, level_of
+from papayabay_core.importance import ADMIT_ALL, Importance
 from tests.unit.daemon.routing_support import (
+    CRITICAL_ONLY,
     RoutingCase,
-    busy,
     call,
-    failed,
-    good,
+    error_answer,
+    high_load,
+    target_answer,
 )
 
-CLASS_EDGE = level_of(Importance.NORMAL, 0) - 1
-
 
 class RefusalTests(RoutingCase):
-    def test_refused_early_with_jitter(self):
+    def test_refusal_before_sending_has_a_jittered_retry_after(self):
         self.refuse_all()
-        waits = {self.refused(call()).retry_after_ms for _ in range(8)}
+        waits = {self.assert_refused(call()).retry_after_ms for _ in range(8)}
         self.assertGreater(len(waits), 3)
         self.assertTrue(all(250 <= wait <= 750 for wait in waits))
         self.assertFalse(self.table.has_other(call(), ()))
         self.table.choose(call(Importance.CRITICAL), ())
-        self.assertEqual(self.table.path_level("stock", "stock/look"), CLASS_EDGE)
+        self.assertEqual(self.table.path_level("stock", "stock/look"), CRITICAL_ONLY)
 
-    def test_limits_reopen_without_answers(self):
-        """A service stayed refused after its overload had ended.
+    def test_refusal_ends_without_new_answers(self):
+        """Calls to a service were refused after its overload had ended.
 
-        Symptom: no goodput while the upstreams idle. Sequence: each said
-        that it admits only the critical class; callers held all else back,
-        so no answer came that said otherwise. Cause: hints without age.
+        Each upstream had reported that it admits only the critical class.
+        Callers refused all other calls, so no answer came with a new level,
+        and the upstreams were idle. Hints had no TTL.
         """
         self.refuse_all()
         self.at += 0.49
-        self.refused(call(Importance.SHEDDABLE))
+        self.assert_refused(call(Importance.SHEDDABLE))
         self.at += 0.26
         self.table.choose(call(), ())
         self.at += 0.26
         self.assertTrue(self.table.has_other(call(Importance.SHEDDABLE), ()))
         self.assertEqual(self.table.path_level("stock", "stock/look"), ADMIT_ALL)
 
-    def test_critical_ignores_stale_hints(self):
+    def test_critical_calls_ignore_stale_hints(self):
         self.refuse_all(-1)
         self.assertFalse(self.table.has_other(call(Importance.CRITICAL), ()))
         self.at += 0.21
         self.assertTrue(self.table.has_other(call(Importance.CRITICAL), ()))
         self.assertFalse(self.table.has_other(call(Importance.SHEDDABLE), ()))
 
-    def test_upstream_with_room_is_believed(self):
-        """Requests were refused two services down, after work was spent.
+    def test_level_of_an_upstream_with_free_slots_is_used(self):
+        """A service worked on requests that the service below it refused.
 
-        Symptom: a middle service worked on requests that the service below
-        it then refused. Sequence: the middle one's answers carried the level
-        from below; it had free slots itself. Cause: an upstream with room
-        was not believed to refuse.
+        Its answers reported the level from below, but it had free slots
+        itself, and levels of upstreams with free slots were ignored.
         """
-        room = LoadState(in_flight=0, queued=0, limit=10, admit_level=CLASS_EDGE)
+        free_slots = LoadState(
+            in_flight=0, queued=0, limit=10, admit_level=CRITICAL_ONLY
+        )
         for upstream in self.upstreams:
-            self.end(upstream, good(room), a_call=call(Importance.CRITICAL))
+            self.run_attempt(
+                upstream, target_answer(free_slots), a_call=call(Importance.CRITICAL)
+            )
         self.assertTrue(self.table.has_other(call(Importance.CRITICAL), ()))
         self.assertFalse(self.table.has_other(call(Importance.SHEDDABLE), ()))
 
     def test_level_of_a_service_is_the_mean(self):
-        levels = [CLASS_EDGE, ADMIT_ALL, ADMIT_ALL, ADMIT_ALL]
+        levels = [CRITICAL_ONLY, ADMIT_ALL, ADMIT_ALL, ADMIT_ALL]
         for upstream, level in zip(self.upstreams, levels, strict=True):
             load = LoadState(limit=10, admit_level=level)
-            self.end(upstream, good(load), a_call=call(Importance.CRITICAL))
+            self.run_attempt(
+                upstream, target_answer(load), a_call=call(Importance.CRITICAL)
+            )
         found = self.table.path_level("stock", call().path_key)
         self.assertEqual(found, sum(levels) // len(levels))
 
-    def test_neighbours_tell_of_an_upstream_not_heard(self):
-        """Each upstream of an overloaded service was tried again on its own.
+    def test_hints_of_the_service_apply_to_an_upstream_without_answers(self):
+        """Each upstream of an overloaded service was tried again separately.
 
-        Symptom: work wasted in bursts a second apart. Sequence: hints of all
-        upstreams grow old; one is tried and refuses; the other three, still
-        unheard, are tried as well. Cause: hints that stand alone.
+        When the hints of all upstreams were stale, one was tried and refused,
+        and the other three were tried as well, since hints of one upstream
+        said nothing about others. That wasted work in bursts a second apart.
         """
         for upstream in self.upstreams[:3]:
-            self.end(upstream, good(busy(CLASS_EDGE)), a_call=call(Importance.CRITICAL))
+            self.run_attempt(
+                upstream,
+                target_answer(high_load(CRITICAL_ONLY)),
+                a_call=call(Importance.CRITICAL),
+            )
         self.assertFalse(self.table.has_other(call(Importance.SHEDDABLE), ()))
 
-    def test_what_services_below_refuse_is_of_one_path(self):
-        below = LoadState(limit=10, closed={"stock/look": CLASS_EDGE})
+    def test_level_of_services_below_applies_to_one_path(self):
+        below = LoadState(limit=10, closed={"stock/look": CRITICAL_ONLY})
         for upstream in self.upstreams:
-            self.end(upstream, good(below), a_call=call(Importance.CRITICAL))
+            self.run_attempt(
+                upstream, target_answer(below), a_call=call(Importance.CRITICAL)
+            )
         self.assertFalse(self.table.has_other(call(), ()))
         self.assertTrue(self.table.has_other(call(path_key="stock/other"), ()))
 
-    def test_what_an_upstream_refuses_itself_is_of_all_paths(self):
+    def test_level_of_the_upstream_itself_applies_to_all_paths(self):
         self.refuse_all()
         self.assertFalse(self.table.has_other(call(path_key="stock/other"), ()))
 
-    def test_switched_off(self):
+    def test_policy_can_disable_refusals(self):
         self.set_policy(upstream_refusal=False)
         self.refuse_all()
-        self.assertEqual(len(self.spread()), 4)
+        self.assertEqual(len(self.count_choices()), 4)
 
 
 class EjectionTests(RoutingCase):
-    def break_off(self, upstream, kind=ErrorKind.LINK_LOST, times=3):
+    def fail_attempts(self, upstream, kind=ErrorKind.LINK_LOST, times=3):
         for _ in range(times):
-            self.end(upstream, failed(kind))
+            self.run_attempt(upstream, error_answer(kind))
 
-    def test_ejected_for_growing_times(self):
-        self.break_off(self.upstreams[1])
-        self.assertNotIn("u1", self.spread())
+    def test_second_ejection_lasts_longer(self):
+        self.fail_attempts(self.upstreams[1])
+        self.assertNotIn("u1", self.count_choices())
         self.at += 2.1
-        self.assertIn("u1", self.spread())
-        self.break_off(self.upstreams[1], times=1)
+        self.assertIn("u1", self.count_choices())
+        self.fail_attempts(self.upstreams[1], times=1)
         self.at += 1.1
-        self.assertNotIn("u1", self.spread())
+        self.assertNotIn("u1", self.count_choices())
 
-    def test_new_incarnation_keeps_the_length(self):
-        """A flapping upstream was never ejected for more than a second.
+    def test_new_incarnation_keeps_the_ejection_length(self):
+        """An upstream with a flapping network was ejected for a second only.
 
-        Symptom: calls kept failing on one upstream. Sequence: its links
-        broke, it was ejected and suspected, refuted that with a higher
-        incarnation, and its links broke again. Cause: the refutation was
-        taken for a restart that wipes the record.
+        Its links broke, it was ejected and suspected, refuted the suspicion
+        with a higher incarnation, and its links broke again. The new
+        incarnation was taken for a restart, which reset the ejection length.
         """
-        self.break_off(self.upstreams[1])
+        self.fail_attempts(self.upstreams[1])
         self.upstreams = [*self.upstreams]
         self.upstreams[1].incarnation += 1
         self.at += 2.1
-        self.assertIn("u1", self.spread())
-        self.break_off(self.upstreams[1], times=1)
+        self.assertIn("u1", self.count_choices())
+        self.fail_attempts(self.upstreams[1], times=1)
         self.at += 1.1
         state = self.table.pools["stock"].states["u1"]
         self.assertTrue(state.ejection.active(self.at))
-        self.assertNotIn("u1", self.spread())
+        self.assertNotIn("u1", self.count_choices())
 
-    def test_never_more_than_the_share(self):
-        """All upstreams were ejected when a service below failed.
+    def test_ejections_are_limited_to_a_share(self):
+        """All upstreams were ejected when a service below them failed.
 
-        Symptom: NO_UPSTREAM while every target was up. Sequence: a deep
-        service hung, all calls through every upstream expired. Cause: a
-        fault that they share was held against each of them.
+        A service further down hung, and the calls through every upstream
+        expired. Calls failed with NO_UPSTREAM while every target was up.
         """
         for upstream in self.upstreams:
-            self.break_off(upstream, ErrorKind.EXPIRED, 10)
+            self.fail_attempts(upstream, ErrorKind.EXPIRED, 10)
         states = self.table.pools["stock"].states.values()
         self.assertEqual(sum(s.ejection.active(self.at) for s in states), 1)
 
-    def test_refusals_are_no_failures(self):
+    def test_refusals_do_not_eject(self):
         for kind in (ErrorKind.OVERLOADED, ErrorKind.TARGET_SHED):
-            self.break_off(self.upstreams[1], kind, 20)
-        self.assertIn("u1", self.spread())
+            self.fail_attempts(self.upstreams[1], kind, 20)
+        self.assertIn("u1", self.count_choices())
 
-    def test_leaving_is_avoided_at_once(self):
-        self.end(self.upstreams[3], failed(ErrorKind.LEAVING))
-        self.assertNotIn("u3", self.spread())
+    def test_leaving_upstream_gets_no_calls(self):
+        self.run_attempt(self.upstreams[3], error_answer(ErrorKind.LEAVING))
+        self.assertNotIn("u3", self.count_choices())
         self.at += 5.1
-        self.assertIn("u3", self.spread())
+        self.assertIn("u3", self.count_choices())
 
-    def test_quick_errors_attract_nothing(self):
+    def test_fast_errors_do_not_attract_calls(self):
         for upstream in self.upstreams:
             bad = upstream.name == "u0"
             for _ in range(20):
                 status, elapsed = (500, 0.001) if bad else (200, 0.01)
-                self.end(upstream, good(status=status), elapsed)
-        self.assertLess(self.spread()["u0"], 20)
+                self.run_attempt(upstream, target_answer(status=status), elapsed)
+        self.assertLess(self.count_choices()["u0"], 20)
 
-    def test_failures_are_forgiven(self):
+    def test_penalties_decay(self):
         """An upstream that had failed once got no more calls.
 
-        Symptom: one upstream idle although it worked again. Sequence: a
-        link broke, or its target answered 500 for a while; from then on it
-        lost each draw. Cause: a penalty that only a good answer took off,
-        and that kept every call away.
+        A link broke, or its target answered 500 for a while. Its penalty made
+        it lose each comparison, and only a successful answer would have
+        removed the penalty.
         """
-        self.break_off(self.upstreams[1], times=1)
+        self.fail_attempts(self.upstreams[1], times=1)
         for _ in range(20):
-            self.end(self.upstreams[2], good(status=500))
-        counts = self.spread()
-        # Only the draw of these two, one in six, ends with either.
+            self.run_attempt(self.upstreams[2], target_answer(status=500))
+        counts = self.count_choices()
+        # Only a pair of these two, which is one draw in six, chooses either.
         self.assertLess(counts["u1"] + counts["u2"], 100)
         self.at += 5.1
-        counts = self.spread()
+        counts = self.count_choices()
         self.assertGreater(min(counts["u1"], counts["u2"]), 50)
--- a/tests/unit/daemon/test_routing_table.py
+++ b/tests/unit/daemon/test_routing_table.py
@@ -1,3 +1,5 @@
+"""Choice of upstreams by load, latency and failure domain, and subsets."""
+
 import random
 import unittest
 from collections import Counter
@@ -13,14 +15,14 @@
 from tests.unit.daemon.routing_support import (
     RoutingCase,
     call,
-    failed,
-    good,
+    error_answer,
     member,
+    target_answer,
 )
 
 
-class NearTests(RoutingCase):
-    """Upstreams of the own failure domain, here u0, go before all others."""
+class OwnDomainTests(RoutingCase):
+    """Upstreams of the own failure domain, here u0, are preferred."""
 
     def set_policy(self, **decisions):
         services = {"stock": {"routing": {"own_domain_usage": 0.5}}}
@@ -29,46 +31,49 @@
 
     def measure_all(self, elapsed=0.01):
         for upstream in self.upstreams:
-            self.end(upstream, good(), elapsed)
+            self.run_attempt(upstream, target_answer(), elapsed)
 
-    def test_it_gets_all_while_it_is_sound(self):
+    def test_healthy_upstream_gets_all_calls(self):
         self.measure_all()
-        self.assertEqual(self.spread().keys(), {"u0"})
+        self.assertEqual(self.count_choices().keys(), {"u0"})
 
-    def test_the_others_share_the_load_once_it_is_half_used(self):
+    def test_others_get_calls_once_it_is_half_used(self):
         self.measure_all()
         for _ in range(5):
             self.table.started(self.upstreams[0], call())
-        self.assertGreaterEqual(self.spread().keys(), {"u1", "u2", "u3"})
+        self.assertGreaterEqual(self.count_choices().keys(), {"u1", "u2", "u3"})
 
-    def test_one_that_fails_or_is_slow_is_left_to_the_draw(self):
-        """Callers of one failure domain were served worse than all others.
+    def test_failing_or_slow_upstream_is_not_preferred(self):
+        """Callers in one failure domain had more failures than all others.
 
-        Their own upstream had turned slow or failed part of its calls, and
-        still got all of them.
+        The upstream of their domain was slow or failed a part of its calls,
+        and still got all of them.
         """
-        for answer, elapsed in ((good(status=500), 0.01), (good(), 0.2)):
+        for result, elapsed in (
+            (target_answer(status=500), 0.01),
+            (target_answer(), 0.2),
+        ):
             self.setUp()
             self.measure_all()
             for _ in range(10):
-                self.end(self.upstreams[0], answer, elapsed)
-            self.assertGreaterEqual(self.spread().keys(), {"u1", "u2", "u3"})
+                self.run_attempt(self.upstreams[0], result, elapsed)
+            self.assertGreaterEqual(self.count_choices().keys(), {"u1", "u2", "u3"})
 
-    def test_without_one_there_all_are_drawn(self):
+    def test_all_are_chosen_if_the_own_domain_has_none(self):
         self.measure_all()
         self.upstreams = self.upstreams[1:]
-        self.assertEqual(self.spread().keys(), {"u1", "u2", "u3"})
+        self.assertEqual(self.count_choices().keys(), {"u1", "u2", "u3"})
 
 
 class ChoiceTests(RoutingCase):
-    def test_no_call_follows_others_over_a_link_in_doubt(self):
-        self.spread()
+    def test_no_call_is_sent_over_an_unresponsive_link(self):
+        self.count_choices()
         self.table.set_link_unresponsive("u1", True)
-        self.assertNotIn("u1", self.spread())
+        self.assertNotIn("u1", self.count_choices())
         self.table.set_link_unresponsive("u1", False)
-        self.assertIn("u1", self.spread())
+        self.assertIn("u1", self.count_choices())
 
-    def test_excluded_and_none_left(self):
+    def test_excluded_upstreams_are_not_chosen(self):
         names = {upstream.name for upstream in self.upstreams}
         chosen = self.table.choose(call(), names - {"u2"})
         self.assertEqual(chosen.name, "u2")
@@ -76,66 +81,71 @@
             self.table.choose(call(), names)
         self.assertEqual(caught.exception.kind, ErrorKind.NO_UPSTREAM)
 
-    def test_in_flight_counts_once_and_steers(self):
+    def test_attempts_in_flight_are_counted_and_avoided(self):
         for _ in range(30):
             self.table.choose(call(), ())
             self.table.started(self.upstreams[1], call())
         self.assertEqual(self.table.pools["stock"].states["u1"].in_flight, 30)
-        self.assertEqual(self.spread()["u1"], 0)
+        self.assertEqual(self.count_choices()["u1"], 0)
         for _ in range(31):
             self.table.ended(self.upstreams[1], call(), None, 0.0)
         self.assertEqual(self.table.pools["stock"].states["u1"].in_flight, 0)
 
-    def test_small_limit_gets_less(self):
+    def test_upstream_with_a_small_limit_gets_fewer_calls(self):
         for upstream in self.upstreams:
             limit = 2 if upstream.name == "u3" else 20
-            self.end(upstream, good(LoadState(in_flight=2, limit=limit)))
-        counts = self.spread()
+            self.run_attempt(
+                upstream, target_answer(LoadState(in_flight=2, limit=limit))
+            )
+        counts = self.count_choices()
         self.assertLess(counts["u3"], min(counts[n] for n in ("u0", "u1", "u2")) / 2)
 
-    def test_own_domain_until_its_latency_is_no_better(self):
+    def test_own_domain_is_preferred_while_its_latency_is_lower(self):
         for upstream in self.upstreams:
-            self.end(upstream, good(), 0.005 if upstream.name == "u0" else 0.008)
-        self.assertGreater(self.spread()["u0"], 150)
+            self.run_attempt(
+                upstream, target_answer(), 0.005 if upstream.name == "u0" else 0.008
+            )
+        self.assertGreater(self.count_choices()["u0"], 150)
         for _ in range(20):
-            self.end(self.upstreams[0], good(), 0.050)
-        self.assertLess(self.spread()["u0"], 50)
+            self.run_attempt(self.upstreams[0], target_answer(), 0.050)
+        self.assertLess(self.count_choices()["u0"], 50)
 
-    def test_old_slowness_is_measured_again(self):
-        """A slow upstream got no more calls for good.
+    def test_slow_upstream_is_measured_again(self):
+        """An upstream that was slow once never got calls again.
 
-        Symptom: one upstream idle long after it had recovered. Sequence:
-        one slow spell raised its average latency; nobody chose it, so
-        nothing lowered the average. Cause: latency without age.
+        Its average latency had risen. It was not chosen any more, so no answer
+        lowered the average, which did not decay with time.
         """
         for upstream in self.upstreams:
-            self.end(upstream, good(), 1.0 if upstream.name == "u2" else 0.01)
-        self.assertLess(self.spread()["u2"], 20)
+            self.run_attempt(
+                upstream, target_answer(), 1.0 if upstream.name == "u2" else 0.01
+            )
+        self.assertLess(self.count_choices()["u2"], 20)
         for _ in range(300):
             self.at += 0.2
             for number in (0, 1, 3):
-                self.end(self.upstreams[number], good(), 0.01)
-        self.assertGreater(self.spread()["u2"], 150)
+                self.run_attempt(self.upstreams[number], target_answer(), 0.01)
+        self.assertGreater(self.count_choices()["u2"], 150)
 
     def test_policy_change_takes_effect_at_once(self):
         self.table.choose(call(), ())
         self.set_policy(routing="round-robin")
-        self.assertEqual(set(self.spread().values()), {100})
+        self.assertEqual(set(self.count_choices().values()), {100})
 
-    def test_restart_forgets_what_was_learned(self):
-        self.end(self.upstreams[0], failed(ErrorKind.LEAVING))
-        self.assertNotIn("u0", self.spread())
+    def test_restart_resets_the_state(self):
+        self.run_attempt(self.upstreams[0], error_answer(ErrorKind.LEAVING))
+        self.assertNotIn("u0", self.count_choices())
         self.upstreams = [member("u0", "d0", 2), *self.upstreams[1:]]
-        self.assertIn("u0", self.spread())
+        self.assertIn("u0", self.count_choices())
 
-    def test_member_that_turns_leaving_in_place(self):
-        self.spread()
+    def test_leaving_member_is_not_chosen(self):
+        self.count_choices()
         self.upstreams[1].state = MemberState.LEAVING
-        self.assertNotIn("u1", self.spread())
+        self.assertNotIn("u1", self.count_choices())
 
 
 class SubsetTests(unittest.TestCase):
-    def test_even_mixed_and_stable(self):
+    def test_subsets_are_balanced_mixed_and_stable(self):
         upstreams = [member(f"u{n}", f"d{n % 4}") for n in range(80)]
         loads = Counter()
         for n in range(800):
@@ -152,13 +162,13 @@
         self.assertLess(max(loads.values()), 1.5 * 120)
         self.assertGreater(min(loads.values()), 0.6 * 120)
 
-    def test_few_others_are_filled_from_the_own_domain(self):
+    def test_own_domain_fills_a_subset_with_too_few_others(self):
         upstreams = [member(f"u{n}", "d1" if n else "d2") for n in range(20)]
         subset, _ = choose_subset(member("here", "d1"), upstreams, 12, True)
         self.assertEqual(len(subset), 12)
         self.assertIn("u0", [upstream.name for upstream in subset])
 
-    def test_lost_domain_leaves_a_daemon_its_reserve(self):
+    def test_reserve_is_used_when_the_subset_is_exhausted(self):
         upstreams = [member(f"u{n}", "d1") for n in range(6)]
         members = SimpleNamespace(
             local=member("here", "d1"), upstreams=lambda service: upstreams
