--- a/tests/unit/daemon/quarantine_fleet.py
+++ b/tests/unit/daemon/quarantine_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons beside targets that a request ends, in virtual time."""
+"""Simulates a fleet in virtual time, with a request that crashes targets."""
 
 import asyncio
 from itertools import count
@@ -26,43 +26,46 @@
 from tests.lib.cluster_fakes import LinkNetwork, MemoryTable, make_settings, seeded
 from tests.unit.daemon.budget_support import SERVICE, budget_policy
 
-DEADLY = "/deadly"
-CONTACT_S = 3.0
-"""How long what one daemon has seen may take to be known to all."""
-REVIVE_S = 2.0
-WORK_S = 0.2
-CRASH_S = 0.05
-ATTEMPTS = 2
+CRASHING_PATH = "/deadly"
+CONVERGENCE_S = 3.0
+"""Time within which all daemons have to receive an update of one daemon."""
+RESTART_S = 2.0
+SERVICE_TIME_S = 0.2
+CRASH_DELAY_S = 0.05
+"""Time after which the crashing request crashes its target."""
+MAX_ATTEMPTS = 2
 
 
-class Beside:
-    """One daemon and its target: real gate, book, spread, rows and receiver.
+class SimulatedDaemon:
+    """One daemon and its target: real quarantine and receiver, the rest fake.
 
     Attributes
     ----------
-    up_since, cut_until : float
-        When it started, and until when it reaches nobody.
+    up_since, isolated_until : float
+        When it started, and until when it is isolated from the others.
     """
 
     def __init__(self, fleet, name):
         self.fleet = fleet
         self.name = name
         self.numbers = count(1)
-        self.cut_until = 0.0
+        self.isolated_until = 0.0
         self.start()
 
     def start(self):
-        """Begin as a process that knows nothing."""
+        """Start as a process without state."""
         fleet, clock = self.fleet, self.fleet.clock
         settings = make_settings(self.name)
         rng = seeded(f"{self.name} {fleet.seed} {next(self.numbers)}")
         self.up_since = clock()
         self.local = SimpleNamespace(name=self.name)
-        self.book = QuarantineRegistry(clock)
-        self.gate = QuarantineGate(settings, self.book, DecisionLog(), lambda: True)
+        self.registry = QuarantineRegistry(clock)
+        self.gate = QuarantineGate(settings, self.registry, DecisionLog(), lambda: True)
         links = fleet.network.links(self.name)
-        rows = QuarantineRows(self.book, fleet.table, self)
-        self.spread = QuarantinePropagation(self.book, self, links, rows, self, rng)
+        rows = QuarantineRows(self.registry, fleet.table, self)
+        self.propagation = QuarantinePropagation(
+            self.registry, self, links, rows, self, rng
+        )
         parts = SimpleNamespace(
             counters=SimpleNamespace(received=0),
             policy=budget_policy,
@@ -76,18 +79,18 @@
         budget = ArrivalBudget(budget_policy, lambda service: 1, clock)
         self.receiver = Receiver(parts, CallTree(), chains, budget)
         self.running = {}
-        self.ended = asyncio.Event()
-        self.born = next(self.numbers)
-        self.back_at = 0.0
-        self.task = asyncio.create_task(self.spread.run())
+        self.crashed = asyncio.Event()
+        self.process_number = next(self.numbers)
+        self.available_at = 0.0
+        self.task = asyncio.create_task(self.propagation.run())
 
     async def kill(self):
-        """End the process; its target goes on."""
+        """Kill the process; its target keeps running."""
         self.fleet.network.handlers.pop(self.name, None)
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
 
-    # As the members that the spread knows, and as the readers of the store.
+    # Used as `Members` and as `Readers` by the propagation.
 
     def live(self):
         return [self.local, *(one.local for one in self.fleet.others_of(self))]
@@ -109,7 +112,7 @@
     def must_read(self):
         return self.local in self.current()
 
-    # As the admission and the target that the receiver hands calls to.
+    # Used as the admission and the target by the receiver.
 
     def load(self, path_key):
         return LoadState()
@@ -118,68 +121,70 @@
         return SimpleNamespace(finish=lambda answer: None)
 
     async def run(self, call, token):
-        """Run a call, unless the target is away or ends before it is done."""
+        """Run a call, unless the target is down or crashes before it ends."""
         clock = self.fleet.clock
-        if clock() < self.back_at:
+        if clock() < self.available_at:
             raise CallError(ErrorKind.TARGET_UNREACHABLE)
-        ended = self.ended
-        deadly = call.path == DEADLY
+        crashed = self.crashed
+        is_crashing = call.path == CRASHING_PATH
         self.running[token] = call, clock()
-        if deadly:
-            self.fleet.deadly_arrived(call, self)
+        if is_crashing:
+            self.fleet.record_crash_run(call, self)
         try:
-            async with asyncio.timeout(CRASH_S if deadly else WORK_S):
-                await ended.wait()
+            async with asyncio.timeout(
+                CRASH_DELAY_S if is_crashing else SERVICE_TIME_S
+            ):
+                await crashed.wait()
         except TimeoutError:
-            if not deadly and self.running.pop(token, None):
+            if not is_crashing and self.running.pop(token, None):
                 self.gate.record_answer(call)
-                self.fleet.answered(call, self)
+                self.fleet.record_answer(call, self)
                 return Answer(200)
         await asyncio.sleep(PROBE_DELAYS_S[0])
-        if not ended.is_set():
+        if not crashed.is_set():
             self.crash()
         await asyncio.sleep(PROPAGATION_DELAY_S)
         raise CallError(ErrorKind.TARGET_LOST)
 
     def crash(self):
-        """End the target's process under all calls that it runs."""
-        works = [
+        """Crash the target's process with all calls in flight."""
+        calls = [
             InFlightCall(call.request_id, "", self.gate.fingerprints.of(call), begun)
             for call, begun in self.running.values()
         ]
         self.running.clear()
-        for work in works:
-            self.fleet.blamed_at[work.fingerprint] = self.fleet.clock()
-        process = (f"p{self.born}", 0)
-        self.gate.target_crashed(TargetCrash(process, SERVICE, works))
-        self.ended.set()
-        self.ended = asyncio.Event()
-        self.born = next(self.numbers)
-        self.back_at = self.fleet.clock() + REVIVE_S
-
-    def in_touch(self):
-        """Whether it had all it needs for long enough."""
-        stable_for = self.fleet.clock() - self.fleet.stable_since
-        return self.hears_others() and stable_for >= CONTACT_S
-
-    def hears_others(self):
-        """Whether it was up and not cut off for long enough."""
-        calm_since = max(self.up_since, self.cut_until)
-        return self.fleet.clock() - calm_since >= CONTACT_S
+        for in_flight in calls:
+            self.fleet.suspected_at[in_flight.fingerprint] = self.fleet.clock()
+        process = (f"p{self.process_number}", 0)
+        self.gate.target_crashed(TargetCrash(process, SERVICE, calls))
+        self.crashed.set()
+        self.crashed = asyncio.Event()
+        self.process_number = next(self.numbers)
+        self.available_at = self.fleet.clock() + RESTART_S
+
+    def is_up_to_date(self):
+        """Return whether it and the store were reachable for long enough."""
+        store_up_for = self.fleet.clock() - self.fleet.store_up_since
+        return self.was_connected() and store_up_for >= CONVERGENCE_S
+
+    def was_connected(self):
+        """Return whether it was up and not isolated for long enough."""
+        connected_since = max(self.up_since, self.isolated_until)
+        return self.fleet.clock() - connected_since >= CONVERGENCE_S
 
 
 class QuarantineFleet:
-    """A fleet, its callers, and what goes wrong with it.
+    """A fleet of daemons, its callers, and the faults that are injected.
 
     Attributes
     ----------
-    deadly_ends : list of float
-        When targets began to run the deadly request, which ends them.
-    late : int
-        Of those, how many both daemons in touch let through later than
-        `CONTACT_S` after the third.
-    wronged : list of str
-        Requests that were held back though answered since.
+    crash_runs : list of float
+        When targets started to run the crashing request.
+    late_runs : int
+        Runs of it later than `CONVERGENCE_S` after the third, if both the
+        entry and the callee could know of the crashes.
+    wrongly_refused : list of str
+        Paths that were refused as quarantined although answered since.
     """
 
     def __init__(self, size, seed):
@@ -189,67 +194,71 @@
         self.rng = seeded(f"fleet {seed}")
         self.network = LinkNetwork()
         self.table = MemoryTable()
-        self.stable_since = 0.0
+        self.store_up_since = 0.0
         self.ids = count()
         self.names = (f"d{number}" for number in count())
         self.daemons = []
-        self.sent_by = {}
-        self.deadly_ends, self.late, self.wronged = [], 0, []
-        self.answered_at, self.blamed_at = {}, {}
+        self.entries = {}
+        self.crash_runs, self.late_runs, self.wrongly_refused = [], 0, []
+        self.answered_at, self.suspected_at = {}, {}
         for _ in range(size):
             self.join()
 
     def join(self):
-        """Let one more daemon start."""
-        self.daemons.append(Beside(self, next(self.names)))
+        """Start one more daemon."""
+        self.daemons.append(SimulatedDaemon(self, next(self.names)))
 
     async def leave(self):
-        """Let the oldest daemon and its target go, unless it is the last."""
+        """Stop the oldest daemon and its target, unless it is the last."""
         if len(self.daemons) > 1:
             await self.daemons.pop(0).kill()
 
     async def restart(self, numbers):
-        """Kill some daemons at once, and start them again."""
+        """Kill some daemons at the same time, and restart them."""
         chosen = {number % len(self.daemons) for number in numbers}
         for number in chosen:
             await self.daemons[number].kill()
         for number in chosen:
             self.daemons[number].start()
 
-    def cut(self, number, seconds):
-        """Cut one daemon off from all others."""
+    def isolate(self, number, seconds):
+        """Isolate one daemon from all others."""
         daemon = self.daemons[number % len(self.daemons)]
-        daemon.cut_until = self.clock() + seconds
+        daemon.isolated_until = self.clock() + seconds
         self.network.cut.add(daemon.name)
         self.loop.call_later(seconds, self.network.cut.discard, daemon.name)
 
     def store_down(self, seconds):
-        """Keep all from the store."""
+        """Make the store unavailable to all daemons."""
         self.table.down = True
-        self.stable_since = self.clock() + seconds
+        self.store_up_since = self.clock() + seconds
         self.loop.call_later(seconds, setattr, self.table, "down", False)
 
     def others_of(self, daemon):
-        """Return the daemons that one hears."""
+        """Return the daemons that a daemon can reach."""
         cut = self.network.cut
         if daemon.name in cut:
             return []
-        return [o for o in self.daemons if o is not daemon and o.name not in cut]
+        return [
+            other
+            for other in self.daemons
+            if other is not daemon and other.name not in cut
+        ]
 
     async def send(self, path, entry=None):
-        """Send one attempt of a client; return the last answer's kind."""
+        """Send a request with retries; return the kind of the last answer."""
         entry = entry or self.rng.choice(self.daemons)
         call = self.make_call(path)
         tried, kind = set(), ErrorKind.NO_UPSTREAM
-        handed_over = 0
-        while handed_over < ATTEMPTS:
-            reached = [entry, *self.others_of(entry)]
-            free = [one for one in reached if one.name not in tried]
-            if not free:
+        possibly_run = 0
+        while possibly_run < MAX_ATTEMPTS:
+            reachable = [entry, *self.others_of(entry)]
+            untried = [one for one in reachable if one.name not in tried]
+            if not untried:
                 break
-            callee = self.rng.choice(free)
+            callee = self.rng.choice(untried)
             tried.add(callee.name)
-            self.sent_by[call.request_id] = entry
+            self.entries[call.request_id] = entry
             try:
                 entry.gate.check(call)
             except CallError as error:
@@ -257,24 +266,27 @@
                 break
             answer = await callee.receiver.receive(call, entry.name)
             kind = answer.kind
-            handed_over += kind is ErrorKind.TARGET_LOST
+            possibly_run += kind is ErrorKind.TARGET_LOST
             if kind is None or kind is ErrorKind.QUARANTINED:
                 break
             call = self.make_call(path, call.request_id)
-        self.judge_refusal(path, kind)
+        self.check_refusal(path, kind)
         return kind
 
-    def judge_refusal(self, path, kind):
-        """Note a refusal of what every end was long before its answer."""
+    def check_refusal(self, path, kind):
+        """Record a refusal of a request that was answered after all crashes.
+
+        The answer must be older than `CONVERGENCE_S`.
+        """
         if kind is not ErrorKind.QUARANTINED or path not in self.answered_at:
             return
         fingerprint, answered = self.answered_at[path]
-        since = answered > self.blamed_at.get(fingerprint, 0.0)
-        if since and self.clock() - answered >= CONTACT_S:
-            self.wronged.append(path)
+        is_exonerated = answered > self.suspected_at.get(fingerprint, 0.0)
+        if is_exonerated and self.clock() - answered >= CONVERGENCE_S:
+            self.wrongly_refused.append(path)
 
     def make_call(self, path, request_id=None):
-        """Return a call."""
+        """Return a call; without an id, it is a new request."""
         return Call(
             request_id=request_id or str(next(self.ids)),
             service=SERVICE,
@@ -289,46 +301,47 @@
             credits=3,
         )
 
-    def answered(self, call, daemon):
-        """Note a whole answer, unless the daemon can't know what it means.
+    def record_answer(self, call, daemon):
+        """Record an answer if its daemon could know that it exonerates.
 
-        One that has just started, or is cut off, has not heard yet that the
-        request is blamed for anything.
+        A daemon that has just started or is isolated may not know yet that the
+        request is suspected of a crash.
         """
-        if daemon.hears_others():
+        if daemon.was_connected():
             fingerprint = daemon.gate.fingerprints.of(call)
             self.answered_at[call.path] = fingerprint, self.clock()
 
-    def deadly_arrived(self, call, callee):
-        """Note that a target runs the deadly request."""
+    def record_crash_run(self, call, callee):
+        """Record that a target runs the crashing request."""
         at = self.clock()
-        self.deadly_ends.append(at)
-        third = self.deadly_ends[2] if len(self.deadly_ends) > 2 else at
-        in_touch = callee.in_touch() and self.sent_by[call.request_id].in_touch()
-        self.late += in_touch and at > third + CONTACT_S
-
-    async def play(self, seconds):
-        """Let others send requests while the deadly one comes twice."""
+        self.crash_runs.append(at)
+        third = self.crash_runs[2] if len(self.crash_runs) > 2 else at
+        entry = self.entries[call.request_id]
+        is_known = callee.is_up_to_date() and entry.is_up_to_date()
+        self.late_runs += is_known and at > third + CONVERGENCE_S
+
+    async def run_traffic(self, seconds):
+        """Send the crashing request twice, among other requests."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.browse(seconds))
+            group.create_task(self.send_others(seconds))
             for _ in range(2):
                 await asyncio.sleep(seconds / 4)
-                await self.send(DEADLY)
+                await self.send(CRASHING_PATH)
 
-    async def browse(self, seconds, pause=0.02):
-        """Send other requests for a time, some of them again and again."""
+    async def send_others(self, seconds, interval=0.02):
+        """Send other requests for a time, to paths that recur."""
         end = self.clock() + seconds
         async with asyncio.TaskGroup() as group:
             while self.clock() < end:
                 path = f"/browse/{self.rng.randrange(60)}"
                 group.create_task(self.send(path))
-                await asyncio.sleep(pause)
+                await asyncio.sleep(interval)
 
-    async def settle(self, seconds):
-        """Let time pass."""
+    async def wait(self, seconds):
+        """Advance the virtual time."""
         await asyncio.sleep(seconds)
 
     async def close(self):
-        """End all daemons."""
+        """Stop all daemons."""
         for daemon in self.daemons:
             await daemon.kill()
--- a/tests/unit/daemon/test_quarantine_fleet.py
+++ b/tests/unit/daemon/test_quarantine_fleet.py
@@ -1,4 +1,4 @@
-"""No request goes on ending targets, whatever happens to the daemons."""
+"""A crashing request is quarantined, whatever happens to the daemons."""
 
 import asyncio
 import random
@@ -8,100 +8,106 @@
 from papayabay_daemon._internal.quarantine.messages import describe, encode
 from papayabay_daemon._internal.target.crash_detector import PROPAGATION_DELAY_S
 from tests.lib.virtual_time import run_virtually
-from tests.unit.daemon.quarantine_fleet import CONTACT_S, DEADLY, QuarantineFleet
+from tests.unit.daemon.quarantine_fleet import (
+    CONVERGENCE_S,
+    CRASHING_PATH,
+    QuarantineFleet,
+)
 
-MOST_LATE = 3
-"""Hand-overs that are allowed once all could know."""
+MAX_LATE_RUNS = 3
+"""Runs of the crashing request that are allowed once all daemons could
+know."""
 
 
 class CrashingRequestTests(unittest.TestCase):
-    """One request ended all targets of its service every few seconds.
+    """One request crashed all targets of its service every few seconds.
 
-    Symptom, sequence and cause: see tests/functional/test_quarantine.py.
+    See tests/functional/test_quarantine.py for how it came about.
     """
 
-    def play(self, size, scenario, seed=29):
+    def run_fleet(self, size, scenario, seed=29):
         async def main():
             fleet = QuarantineFleet(size, seed)
-            await fleet.settle(2.0)
+            await fleet.wait(2.0)
             await scenario(fleet)
             await fleet.close()
             return fleet
 
         return run_virtually(main)
 
-    def test_it_ends_three_targets_at_most(self):
+    def test_it_crashes_at_most_three_targets(self):
         async def scenario(fleet):
             for _ in range(6):
-                await fleet.play(4.0)
+                await fleet.run_traffic(4.0)
 
         for seed in range(8):
             with self.subTest(seed=seed):
-                fleet = self.play(4, scenario, seed)
-                self.assertIn(len(fleet.deadly_ends), (2, 3))
-                self.assertEqual(fleet.wronged, [])
+                fleet = self.run_fleet(4, scenario, seed)
+                self.assertIn(len(fleet.crash_runs), (2, 3))
+                self.assertEqual(fleet.wrongly_refused, [])
 
-    def test_all_daemons_of_a_larger_fleet_learn_of_it(self):
+    def test_all_daemons_of_a_larger_fleet_receive_the_entry(self):
         async def scenario(fleet):
             for _ in range(4):
-                await fleet.play(4.0)
+                await fleet.run_traffic(4.0)
 
-        fleet = self.play(60, scenario)
-        self.assertEqual(fleet.late, 0)
-        held = [one.gate.list_entries() for one in fleet.daemons]
-        self.assertNotIn([], held)
+        fleet = self.run_fleet(60, scenario)
+        self.assertEqual(fleet.late_runs, 0)
+        entries = [one.gate.list_entries() for one in fleet.daemons]
+        self.assertNotIn([], entries)
 
-    def test_it_is_known_after_all_have_restarted(self):
-        """All daemons are killed at once; what they knew is in the store."""
+    def test_entry_survives_a_restart_of_all_daemons(self):
+        """Daemons that are killed together read the entry from the store."""
 
         async def scenario(fleet):
-            await fleet.play(4.0)
+            await fleet.run_traffic(4.0)
             await fleet.restart(range(4))
-            await fleet.settle(CONTACT_S)
+            await fleet.wait(CONVERGENCE_S)
             for daemon in fleet.daemons:
-                kind = await fleet.send(DEADLY, daemon)
+                kind = await fleet.send(CRASHING_PATH, daemon)
                 self.assertIs(kind, ErrorKind.QUARANTINED)
 
-        self.play(4, scenario)
+        self.run_fleet(4, scenario)
 
-    def test_it_is_written_when_the_store_is_back(self):
+    def test_entry_is_written_after_a_store_outage(self):
         async def scenario(fleet):
             fleet.store_down(6.0)
-            await fleet.play(4.0)
-            await fleet.settle(4.0)
+            await fleet.run_traffic(4.0)
+            await fleet.wait(4.0)
             await fleet.restart(range(4))
-            await fleet.settle(CONTACT_S)
-            kind = await fleet.send(DEADLY)
+            await fleet.wait(CONVERGENCE_S)
+            kind = await fleet.send(CRASHING_PATH)
             self.assertIs(kind, ErrorKind.QUARANTINED)
 
-        fleet = self.play(4, scenario)
+        fleet = self.run_fleet(4, scenario)
         self.assertEqual(len(fleet.table.rows), 1)
 
-    def test_a_daemon_that_was_cut_off_learns_of_it(self):
+    def test_a_daemon_that_was_isolated_receives_the_entry(self):
         async def scenario(fleet):
-            fleet.cut(0, 5.0)
-            await fleet.play(4.0)
-            await fleet.settle(1.0 + CONTACT_S)
-            kind = await fleet.send(DEADLY, fleet.daemons[0])
+            fleet.isolate(0, 5.0)
+            await fleet.run_traffic(4.0)
+            await fleet.wait(1.0 + CONVERGENCE_S)
+            kind = await fleet.send(CRASHING_PATH, fleet.daemons[0])
             self.assertIs(kind, ErrorKind.QUARANTINED)
 
-        self.play(6, scenario)
+        self.run_fleet(6, scenario)
 
-    def test_one_conviction_is_one_row_and_few_calls(self):
+    def test_one_entry_is_one_row_and_few_writes(self):
         async def scenario(fleet):
             for _ in range(5):
-                await fleet.play(4.0)
+                await fleet.run_traffic(4.0)
 
-        fleet = self.play(12, scenario)
+        fleet = self.run_fleet(12, scenario)
         self.assertEqual(len(fleet.table.rows), 1)
         self.assertLessEqual(fleet.table.writes, 3)
 
-    def test_what_is_seen_here_is_told_though_a_peer_tells_meanwhile(self):
-        """An end was known to one daemon alone for a second.
+    def test_local_crash_is_sent_though_a_peer_sends_another_meanwhile(self):
+        """A crash was known to one daemon only for a second.
 
-        Sequence: a daemon notes an end; before it has told anybody, a peer
-        tells it of another one. Cause: what was heard and what was seen here
-        waited in one place, and the former is not told on in a small fleet.
+        A daemon records a crash. Before it is sent, a peer sends the daemon
+        another one. Both were in the same set of pending updates, which was
+        treated as received, and received updates are not forwarded in a small
+        fleet.
         """
 
         async def scenario(fleet):
@@ -109,96 +115,96 @@
             for daemon in (first, second):
                 daemon.running["t"] = fleet.make_call("/browse/1"), fleet.clock()
                 daemon.crash()
-            await first.spread.handle_request(
-                encode(describe(second.book, b"other", True)), second.name
+            await first.propagation.handle_request(
+                encode(describe(second.registry, b"other", True)), second.name
             )
-            await fleet.settle(PROPAGATION_DELAY_S)
-            ends = [len(daemon.book.crashes) for daemon in fleet.daemons]
-            self.assertEqual(ends, [2] * 4)
+            await fleet.wait(PROPAGATION_DELAY_S)
+            crashes = [len(daemon.registry.crashes) for daemon in fleet.daemons]
+            self.assertEqual(crashes, [2] * 4)
 
-        self.play(4, scenario)
+        self.run_fleet(4, scenario)
 
-    def test_it_is_written_again_when_the_store_has_lost_it(self):
-        """One daemon alone hears that the store came back from a copy."""
+    def test_entry_is_written_again_after_a_restored_store_lost_it(self):
+        """Only one daemon is told that the store was restored from a copy."""
 
         async def scenario(fleet):
             fleet.table.era.note(1)
-            await fleet.play(4.0)
+            await fleet.run_traffic(4.0)
             fleet.table.rows.clear()
             last = fleet.daemons[-1]
-            await last.spread.handle_request(
-                encode(describe(last.book, b"other", True, (), era=2)), "any"
+            await last.propagation.handle_request(
+                encode(describe(last.registry, b"other", True, (), era=2)), "any"
             )
-            await fleet.settle(CONTACT_S)
+            await fleet.wait(CONVERGENCE_S)
 
-        fleet = self.play(4, scenario)
+        fleet = self.run_fleet(4, scenario)
         self.assertEqual(len(fleet.table.rows), 1)
 
-    def test_nothing_is_held_back_for_targets_that_end_by_themselves(self):
-        """Targets end one after the other, and no request is the cause.
+    def test_nothing_is_quarantined_if_targets_crash_by_themselves(self):
+        """Targets crash one after the other, and no request is the cause.
 
-        Those that were at work in two ends come again; each is answered, and
-        none is refused for good.
+        Requests that were in flight in two crashes are sent again. Each of
+        them is answered, and none stays quarantined.
         """
 
         async def scenario(fleet):
             async with asyncio.TaskGroup() as group:
-                group.create_task(fleet.browse(24.0))
-                for turn in range(6):
+                group.create_task(fleet.send_others(24.0))
+                for number in range(6):
                     await asyncio.sleep(3.5)
-                    fleet.daemons[turn % 4].crash()
+                    fleet.daemons[number % 4].crash()
 
-        fleet = self.play(4, scenario)
-        self.assertEqual(fleet.wronged, [])
+        fleet = self.run_fleet(4, scenario)
+        self.assertEqual(fleet.wrongly_refused, [])
         self.assertEqual([one.gate.list_entries() for one in fleet.daemons], [[]] * 4)
 
 
-class AnyDayTests(unittest.TestCase):
-    """Whatever happens to the daemons, few targets end once all can know.
+class RandomFaultTests(unittest.TestCase):
+    """Few targets crash once all daemons can know, whatever the faults.
 
-    By hand, many more seeds: `play_day(seed)` for each.
+    To run other seeds by hand, call `run_random_faults(seed)`.
     """
 
-    def test_any_day(self):
+    def test_random_faults(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                fleet = play_day(seed)
-                self.assertLessEqual(fleet.late, MOST_LATE)
-                self.assertEqual(fleet.wronged, [])
+                fleet = run_random_faults(seed)
+                self.assertLessEqual(fleet.late_runs, MAX_LATE_RUNS)
+                self.assertEqual(fleet.wrongly_refused, [])
 
 
 SEEDS = (*range(20), 43)
-"""The last one has an answer by a daemon that has just started and is cut off;
-it can't know that the request is blamed for anything."""
+"""With the last one, a daemon that has just started and is isolated answers
+the request. It can't know that the request is suspected of a crash."""
 
 
-def play_day(seed):
-    """Play a day of a fleet, drawn from a seed, and return the fleet."""
+def run_random_faults(seed):
+    """Run a fleet with random faults and return it."""
     rng = random.Random(seed)
 
     async def main():
         fleet = QuarantineFleet(rng.choice((2, 4, 4, 6, 11)), seed)
-        await fleet.settle(2.0)
+        await fleet.wait(2.0)
         for _ in range(rng.randint(2, 8)):
-            await play_part(fleet, rng)
+            await run_segment(fleet, rng)
         for _ in range(3):
-            await fleet.play(CONTACT_S)
+            await fleet.run_traffic(CONVERGENCE_S)
         await fleet.close()
         return fleet
 
     return run_virtually(main)
 
 
-async def play_part(fleet, rng):
-    """Let things go wrong, play some seconds, and change the fleet."""
+async def run_segment(fleet, rng):
+    """Inject faults, run traffic for some seconds, and change the fleet."""
     size = len(fleet.daemons)
     if rng.random() < 0.4:
-        fleet.cut(rng.randrange(size), rng.choice((1.0, 4.0, 8.0)))
+        fleet.isolate(rng.randrange(size), rng.choice((1.0, 4.0, 8.0)))
     if rng.random() < 0.4:
         fleet.store_down(rng.choice((1.0, 2.0, 5.0)))
     if rng.random() < 0.4:
         rng.choice(fleet.daemons).crash()
-    await fleet.play(rng.choice((0.5, 2.0, 4.0)))
+    await fleet.run_traffic(rng.choice((0.5, 2.0, 4.0)))
     if rng.random() < 0.5:
         killed = rng.choice((1, 2, 9))
         await fleet.restart({rng.randrange(size) for _ in range(killed)})
