--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/credits.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/credits.py
@@ -14,7 +14,7 @@
         Credits received with the call, or minted at its entry.
     """
 
-    __slots__ = ("closed", "balance", "spent")
+    __slots__ = ("balance", "closed", "spent")
 
     def __init__(self, balance):
         self.balance = max(0, balance)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/ratio.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/ratio.py
@@ -21,7 +21,7 @@
 
 
 class RetryRatio:
-    """One token bucket per service, replenished by first attempts.
+    """Limits the retries of each service by a token bucket.
 
     Each first attempt earns `ratio` of a token. A slow refill over time, up to
     a small floor, lets services with few calls retry too. If policy sets a
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/window.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/window.py
@@ -215,6 +215,5 @@
         allowed : float
             Retries allowed in the whole window that ends now.
         """
-        recent = islice(reversed(self.retry_counts), PACING_SLICES)
-        latest = self.pending + sum(recent)
-        return latest + 1 > max(1.0, allowed * PACING_SLICES / SLICES)
+        recent = self.pending + sum(islice(reversed(self.retry_counts), PACING_SLICES))
+        return recent + 1 > max(1.0, allowed * PACING_SLICES / SLICES)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/table.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/table.py
@@ -38,17 +38,15 @@
         self.pools = {}
         self.counters = Counter()
         self.round_robin = RoundRobin()
-        self.two_choices_hinted = TwoChoices(random, True)
-        self.two_choices = TwoChoices(random, False)
+        self.with_hints = TwoChoices(random, True)
+        self.without_hints = TwoChoices(random, False)
         self.ejections = EjectionLog()
 
     def strategy(self, decisions):
         """Return the strategy that policy selects."""
         if decisions.routing == "round-robin":
             return self.round_robin
-        if decisions.upstream_refusal:
-            return self.two_choices_hinted
-        return self.two_choices
+        return self.with_hints if decisions.upstream_refusal else self.without_hints
 
     def choose(self, call, excluded):
         """Return the member to send an attempt to.
