--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -5,7 +5,7 @@
 from papayabay_core.calls import Answer
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_daemon._internal.doors.headers import end_to_end, without
-from papayabay_daemon._internal.lifetime.timeouts import LifeTimeout
+from papayabay_daemon._internal.lifetime.timeouts import CallTimeout
 from papayabay_daemon._internal.quarantine.fingerprint import Fingerprints
 from papayabay_daemon._internal.target.cancellation import CancelNotices
 from papayabay_daemon._internal.target.crash_detector import CrashDetector
@@ -85,7 +85,7 @@
             raise CallError(ErrorKind.EXPIRED_UNSENT)
         exchange = None
         try:
-            with LifeTimeout(remaining):
+            with CallTimeout(remaining):
                 connection = await self.connect(pool)
                 exchange = Exchange(pool, connection, self.limits)
                 head = self.dialect.request_head(call, call_token, pool.announcement)
@@ -138,14 +138,14 @@
         message = await self.receive_own(exchange, call)
         status, fields = message.status, message.head.first
         pool.note_idle(self.dialect.idle_seconds(fields))
-        verdict = self.dialect.judge(call, pool.announcement, status, fields)
+        verdict = self.dialect.classify(call, pool.announcement, status, fields)
         if verdict in REFUSALS:
             exchange.discard()
             if verdict is Verdict.REPLACED:
-                self.registry.replaced(pool.announcement)
+                self.registry.mark_replaced(pool.announcement)
             pause = self.dialect.retry_after_ms(fields)
             raise CallError(REFUSALS[verdict], retry_after_ms=pause)
-        if verdict is Verdict.DOUBTFUL:
+        if verdict is Verdict.UNVERIFIED:
             raise CallError(ErrorKind.TARGET_LOST, f"a {status} that can't be its own")
         # Decoded before the body, so that a field that can't travel on ends
         # the call at once.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/asking.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
@@ -17,7 +17,7 @@
 log = logbook.Logger("papayabay.target")
 
 
-class TargetAsking:
+class TargetDiscovery:
     """Announces, at the start, a target that runs already.
 
     A daemon that restarts beside a running target would not know it until
@@ -74,4 +74,6 @@
             return None
         finally:
             requester.close()
-        return self.dialect.announced(self.target, reply.status, reply.fields)
+        return self.dialect.announcement_from_health(
+            self.target, reply.status, reply.fields
+        )
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -4,21 +4,21 @@
 
 from papayabay_daemon._internal.accounts import (
     Authenticator,
-    EqualParts,
-    KeeperLimiter,
-    KeeperRing,
-    LimitKeeper,
+    EqualShareLimiter,
+    LimitOwner,
+    OwnerLimiter,
+    OwnerRing,
     RateLimits,
 )
 from papayabay_daemon._internal.admission import AdmissionInputs, make_admission
 from papayabay_daemon._internal.calls.chains import ChainModel
+from papayabay_daemon._internal.calls.components import CallComponents, CallCounters
 from papayabay_daemon._internal.calls.dispatch import Dispatcher
 from papayabay_daemon._internal.calls.flow import CallFlow
-from papayabay_daemon._internal.calls.parts import CallCounters, Parts
-from papayabay_daemon._internal.calls.pause import PauseWatch
+from papayabay_daemon._internal.calls.pause import PauseDetector
 from papayabay_daemon._internal.calls.receive import Receiver
 from papayabay_daemon._internal.calls.tree import CallTree
-from papayabay_daemon._internal.configuration import ConfigurationKeeper
+from papayabay_daemon._internal.configuration import ConfigurationManager
 from papayabay_daemon._internal.decision_log import DecisionLog
 from papayabay_daemon._internal.doors import CallerDoor, StatusDoor
 from papayabay_daemon._internal.idempotency import IdempotencyGate
@@ -47,7 +47,7 @@
 from papayabay_daemon._internal.status.routes import StatusRoutes
 from papayabay_daemon._internal.supervisor import Child, Supervisor
 from papayabay_daemon._internal.target import HttpTargetClient, TargetRegistry
-from papayabay_daemon._internal.target.asking import TargetAsking
+from papayabay_daemon._internal.target.discovery import TargetDiscovery
 from papayabay_daemon.environment import own_environment
 
 
@@ -91,7 +91,7 @@
         self.membership = Membership(settings, self.table, self.links, self.random)
         self.links.local = self.membership.local
         self.membership.on_change(DeathLog().note)
-        self.keeper = ConfigurationKeeper(
+        self.configuration = ConfigurationManager(
             settings,
             environment.versions,
             self.membership,
@@ -117,8 +117,10 @@
         )
         self.registry.listeners.append(self.target_changed)
         dialect = self.environment.target_dialect
-        self.asking = TargetAsking(self.settings, self.policy, self.registry, dialect)
-        self.keeper.on_change(self.policy_changed)
+        self.target_discovery = TargetDiscovery(
+            self.settings, self.policy, self.registry, dialect
+        )
+        self.configuration.on_change(self.policy_changed)
         self.links.on_leaving(self.membership.mark_leaving)
         self.links.on_doubt(self.router.set_link_unresponsive)
 
@@ -138,7 +140,7 @@
             self.membership,
             self.links,
             QuarantineRows(registry, self.table, self.membership),
-            self.keeper.readers,
+            self.configuration.readers,
             self.random,
         )
         detector = self.target.crash_detector
@@ -148,27 +150,27 @@
     def build_accounts(self):
         """Make what knows client accounts."""
         self.authenticator = Authenticator(
-            self.policy, self.keeper.confirmer, self.random
+            self.policy, self.configuration.confirmer, self.random
         )
-        self.ring = ring = KeeperRing(self.membership)
-        self.limit_keeper = LimitKeeper(self.policy, ring, self.links)
-        self.token_asking = KeeperLimiter(
-            self.membership.local, ring, self.limit_keeper, self.links, self.random
+        self.ring = ring = OwnerRing(self.membership)
+        self.limit_owner = LimitOwner(self.policy, ring, self.links)
+        self.owner_limiter = OwnerLimiter(
+            self.membership.local, ring, self.limit_owner, self.links, self.random
         )
-        parts = EqualParts(self.membership)
+        parts = EqualShareLimiter(self.membership)
         self.limits = RateLimits(
             self.policy,
-            {"keepers": self.token_asking, "parts": parts},
+            {"keepers": self.owner_limiter, "parts": parts},
             self.random,
         )
-        for kept in (self.limits, self.token_asking, parts):
-            self.keeper.on_change(kept.policy_changed)
-        self.links.confirmations = self.keeper.state
-        self.table.era.listeners.append(self.keeper.state.store_restored)
+        for kept in (self.limits, self.owner_limiter, parts):
+            self.configuration.on_change(kept.policy_changed)
+        self.links.confirmations = self.configuration.state
+        self.table.era.listeners.append(self.configuration.state.store_restored)
 
     def build_calls(self):
         """Make the call flow."""
-        self.parts = Parts(
+        self.call_components = CallComponents(
             settings=self.settings,
             local=self.membership.local,
             policy=self.policy,
@@ -188,10 +190,10 @@
         )
         self.tree = CallTree()
         chains = ChainModel(self.router)
-        self.admission.ask_below(chains.closed_paths)
-        self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstreams)
-        receiver = Receiver(self.parts, self.tree, chains, self.arrivals)
-        dispatcher = Dispatcher(self.parts, receiver, self.retries)
+        self.admission.set_downstream_source(chains.closed_paths)
+        self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstream_count)
+        receiver = Receiver(self.call_components, self.tree, chains, self.arrivals)
+        dispatcher = Dispatcher(self.call_components, receiver, self.retries)
         self.gate = IdempotencyGate(
             self.settings,
             self.membership.local,
@@ -200,9 +202,9 @@
             self.membership,
         )
         self.objectives = ObjectiveCounters()
-        self.pause = PauseWatch()
+        self.pause = PauseDetector()
         self.flow = CallFlow(
-            self.parts,
+            self.call_components,
             self.tree,
             dispatcher,
             self.gate,
@@ -210,9 +212,9 @@
             self.objectives,
             self.pause,
         )
-        self.gate.handle_forwarded(self.flow.dispatch_forwarded)
-        self.gate.check_before_claim(self.router.check)
-        self.links.handle_calls(receiver.receive, self.flow.forwarded)
+        self.gate.set_forwarded_dispatch(self.flow.dispatch_forwarded)
+        self.gate.set_claim_precheck(self.router.check)
+        self.links.handle_calls(receiver.receive, self.flow.handle_forwarded)
 
     def build_doors(self):
         """Make what listens, and the accounts that the daemon gives."""
@@ -223,7 +225,7 @@
         )
         self.listeners = self.environment.listeners(self)
         if settings.metrics.host is not None:
-            sources = self.parts.latencies, self.metrics.totals, self.levels
+            sources = self.call_components.latencies, self.metrics.totals, self.levels
             self.listeners.append(MetricsDoor(settings, *sources))
         routes = StatusRoutes(self)
         self.status_door = StatusDoor(settings, routes.reads(), routes.writes())
@@ -234,13 +236,13 @@
             "control",
             [
                 Child("membership", self.membership.run),
-                Child("configuration", self.keeper.run),
+                Child("configuration", self.configuration.run),
             ],
         )
         children = [
             Child("control", self.control.run),
             Child("target lease", self.registry.watch),
-            Child("target asking", self.asking.run),
+            Child("target asking", self.target_discovery.run),
             Child("metrics", self.metrics.run),
             Child("pause watch", self.pause.run),
             Child("quarantine", self.quarantine_propagation.run),
@@ -255,7 +257,7 @@
 
     def policy(self):
         """Return the policy in force."""
-        return self.keeper.policy
+        return self.configuration.policy
 
     def levels(self):
         """Return what metrics show beside counters, by dotted name."""
@@ -286,10 +288,10 @@
         if target is None:
             self.membership.withdraw()
         elif self.leaving or target.draining:
-            self.admission.leave()
+            self.admission.stop_admitting()
             self.membership.withdraw()
         else:
-            self.admission.open()
+            self.admission.resume_admitting()
             self.membership.announce(target.service, target.slots)
 
     def target_crashed(self, crash):
