--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/propagation.py
@@ -257,7 +257,7 @@
         return True
 
     def detect_isolation(self):
-        """Require synchronization again after a long silence has ended."""
+        """Require synchronization again once an isolation has ended."""
         if self.members.seconds_since_packet() > self.readers.isolation_timeout:
             self.was_isolated = True
         elif self.was_isolated:
--- a/tests/unit/daemon/budget_fleet.py
+++ b/tests/unit/daemon/budget_fleet.py
@@ -40,7 +40,7 @@
             lambda: fleet.policy, lambda service: len(fleet.daemons), lambda: fleet.at
         )
         target = SimpleNamespace(service=SERVICE)
-        parts = SimpleNamespace(
+        components = SimpleNamespace(
             counters=SimpleNamespace(received=0),
             policy=lambda: fleet.policy,
             registry=SimpleNamespace(current=target),
@@ -50,7 +50,7 @@
             log=SimpleNamespace(note=lambda *args, **inputs: None),
         )
         chains = SimpleNamespace(note=lambda path_key, called: None)
-        self.receiver = Receiver(parts, CallTree(), chains, self.budget)
+        self.receiver = Receiver(components, CallTree(), chains, self.budget)
 
     def guard(self, call):
         """Treat no request as suspect."""
--- a/tests/unit/daemon/quarantine_fleet.py
+++ b/tests/unit/daemon/quarantine_fleet.py
@@ -66,7 +66,7 @@
         self.propagation = QuarantinePropagation(
             self.registry, self, links, rows, self, rng
         )
-        parts = SimpleNamespace(
+        components = SimpleNamespace(
             counters=SimpleNamespace(received=0),
             policy=budget_policy,
             registry=SimpleNamespace(current=SimpleNamespace(service=SERVICE)),
@@ -77,7 +77,7 @@
         )
         chains = SimpleNamespace(note=lambda path_key, called: None)
         budget = ArrivalBudget(budget_policy, lambda service: 1, clock)
-        self.receiver = Receiver(parts, CallTree(), chains, budget)
+        self.receiver = Receiver(components, CallTree(), chains, budget)
         self.running = {}
         self.crashed = asyncio.Event()
         self.process_number = next(self.numbers)
