--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: gossip over UDP, seeds in the table."""
+"""Cluster membership by gossip over UDP, with seeds stored in a table."""
 
 from papayabay_daemon._internal.membership.membership import Membership
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/deaths.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/deaths.py
@@ -1,4 +1,4 @@
-"""Log lines on members that were declared dead and that came back."""
+"""Logs members that are declared dead, and those that return."""
 
 import logbook
 
@@ -10,9 +10,9 @@
 
 
 class DeathLog:
-    """Logs deaths and returns; a member that left before hasn't died.
+    """Logs deaths and returns, but not members that left in an orderly way.
 
-    Each table of names keeps the newest `TOMBSTONES_MAX`.
+    Each set of names holds the newest `TOMBSTONES_MAX` names.
     """
 
     def __init__(self):
@@ -22,27 +22,27 @@
         self.leaving = {}
 
     def note(self, member):
-        """Take in a member that changed."""
+        """Process a member whose record has changed."""
         name = member.name
         if member.state is MemberState.DEAD:
             self.note_dead(name)
         elif member.state is MemberState.LEAVING:
-            keep(self.leaving, name)
+            add_bounded(self.leaving, name)
         else:
             self.leaving.pop(name, None)
             if self.dead.pop(name, False):
                 self.came_back.add(name)
 
     def note_dead(self, name):
-        """Log a death once, unless the member had said that it leaves."""
+        """Log a death once, unless the member had announced that it leaves."""
         if self.leaving.pop(name, False) or name in self.dead:
             return
-        keep(self.dead, name)
+        add_bounded(self.dead, name)
         self.died.add(name)
 
 
-def keep(names, name):
-    """Note a name, in place of the oldest when there are too many."""
+def add_bounded(names, name):
+    """Add a name, and evict the oldest one beyond `TOMBSTONES_MAX`."""
     names[name] = True
     if len(names) > TOMBSTONES_MAX:
         del names[next(iter(names))]
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/detector.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/detector.py
@@ -122,7 +122,7 @@
         self.pauses += 1
         self.epoch += 1
         self.health = min(HEALTH_MAX, self.health + 1)
-        self.suspicions.start_over()
+        self.suspicions.restart_timeouts()
 
     def start_period(self, group):
         """Probe the next member, and now and then one that is dead.
@@ -266,7 +266,7 @@
         """Note an answer."""
         self.health = max(0, self.health - 1)
         if member.state is MemberState.LEAVING:
-            self.suspicions.drop(member.name)
+            self.suspicions.discard(member.name)
 
     def failed(self, member, probe, helpers):
         """Suspect a member; doubt oneself when not even helpers answered."""
@@ -276,7 +276,7 @@
             suspect = Update(member.name, member.incarnation, MemberState.SUSPECT)
             self.apply(suspect)
         elif member.state is MemberState.LEAVING:
-            self.suspicions.watch(member)
+            self.suspicions.add(member)
 
     def suspicion_timeout(self):
         """Return the seconds that a suspect has; more when unwell oneself."""
@@ -284,7 +284,7 @@
 
     def conclude(self):
         """Declare dead whose time is over."""
-        for name, incarnation in self.suspicions.take_over():
+        for name, incarnation in self.suspicions.pop_expired():
             self.apply(Update(name, incarnation, MemberState.DEAD))
 
     def take_ack(self, packet):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/gossip.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/gossip.py
@@ -95,7 +95,7 @@
         if not self.updates.level_of:
             return (first,)
         room = min(room, self.budget.available(self.clock()))
-        updates = self.updates.take(room, self.encode, self.table.live_count())
+        updates = self.updates.next_updates(room, self.encode, self.table.live_count())
         return (first, *updates)
 
     def encode(self, name):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/incarnations.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/incarnations.py
@@ -1,8 +1,8 @@
-"""Incarnations: the start of a process and the count of its changes.
+"""Incarnation numbers, which order all records that a daemon announces.
 
-The upper bits hold the start in milliseconds of wall time, the lower ones
-count announcements and refutations, so that one number orders all that a
-daemon ever says of itself, over restarts too.
+The upper bits hold the start time of the process in milliseconds of wall
+time, the lower ones count its announcements and refutations. So records of a
+restarted daemon supersede those of its former process.
 """
 
 import time
@@ -15,13 +15,14 @@
     return int(time.time() * 1_000) << CHANGE_BITS
 
 
-def incarnation_above(own, heard):
-    """Return an incarnation that wins over both.
+def incarnation_above(own, received):
+    """Return an incarnation that is higher than both.
 
-    A clock that was set back gives a restarted daemon a lower start than
-    its former process had; one heard of from there is left behind whole,
-    so that the two never share a start.
+    If the clock was set back, a restarted daemon has a lower start time than
+    its former process. When an incarnation of that process is received, the
+    result lies beyond its whole range of changes, so that the two processes
+    never use the same start time.
     """
-    if heard >> CHANGE_BITS <= own >> CHANGE_BITS:
-        return max(own, heard) + 1
-    return ((heard >> CHANGE_BITS) + 1) << CHANGE_BITS
+    if received >> CHANGE_BITS <= own >> CHANGE_BITS:
+        return max(own, received) + 1
+    return ((received >> CHANGE_BITS) + 1) << CHANGE_BITS
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
@@ -215,9 +215,9 @@
         for peer in random_peers(self.table, ANNOUNCE_FAN_OUT, self.random):
             self.detector.ping(peer, self.detector.next_sequence(), record)
 
-    def change_local(self, heard=0, **fields):
+    def change_local(self, received=0, **fields):
         """Change the own record under an incarnation above all former."""
-        incarnation = incarnation_above(self.local.incarnation, heard)
+        incarnation = incarnation_above(self.local.incarnation, received)
         self.table.change_local(incarnation=incarnation, **fields)
         self.gossip.updates.add(self.local.name)
         self.notify(self.local)
@@ -260,7 +260,7 @@
             return
         if strange:
             self.detector.joined(member.name)
-        self.detector.suspicions.changed(member)
+        self.detector.suspicions.update(member)
         if gossip:
             self.gossip.updates.add(member.name)
         self.notify(member)
@@ -287,7 +287,7 @@
                     "name {} is in use elsewhere, or the clock went back",
                     self.local.name,
                 )
-        self.change_local(heard=update.incarnation)
+        self.change_local(received=update.incarnation)
 
     def is_another(self, update):
         """Return whether a living daemon elsewhere uses the own name."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/sampling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/sampling.py
@@ -1,8 +1,8 @@
-"""Random choices among the members."""
+"""Random samples of the members."""
 
 
 def random_peers(members, count, random):
-    """Return some random live members other than this daemon.
+    """Return up to `count` random live members other than this daemon.
 
     Parameters
     ----------
@@ -11,5 +11,5 @@
     random : random.Random
     """
     live = members.live()
-    drawn = random.sample(live, min(len(live), count + 1))
-    return [member for member in drawn if member is not members.local][:count]
+    sample = random.sample(live, min(len(live), count + 1))
+    return [member for member in sample if member is not members.local][:count]
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/suspicion.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Silent members: how long they have to refute, and when they are dead."""
+"""Suspected members and the deadlines by which they have to refute."""
 
 from dataclasses import dataclass
 
@@ -7,21 +7,21 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """When a silent member is declared dead, unless it refutes."""
+    """When a suspected incarnation is declared dead, unless it refutes."""
 
     incarnation: int
     deadline: float
 
 
 class Suspicions:
-    """The members that are suspected, by name.
+    """The suspected members, by name.
 
     Parameters
     ----------
     clock : callable
-        Seconds.
+        Returns the time in seconds.
     timeout : callable
-        Returns the seconds that a suspect has now.
+        Returns the seconds that a new suspect has to refute.
     """
 
     def __init__(self, clock, timeout):
@@ -33,42 +33,42 @@
         return len(self.by_name)
 
     def names(self):
-        """Return the names of all suspects."""
+        """Return the names of all suspected members."""
         return list(self.by_name)
 
-    def watch(self, member):
-        """Start the time after which a member is declared dead."""
+    def add(self, member):
+        """Start the timeout of a member, unless it is running already."""
         known = self.by_name.get(member.name)
         if known is not None and known.incarnation == member.incarnation:
             return
         deadline = self.clock() + self.timeout()
         self.by_name[member.name] = Suspicion(member.incarnation, deadline)
 
-    def drop(self, name):
-        """Suspect a member no longer."""
+    def discard(self, name):
+        """Remove the suspicion of a member, if there is one."""
         self.by_name.pop(name, None)
 
-    def changed(self, member):
-        """Keep in step with a member's news."""
+    def update(self, member):
+        """Add or remove the suspicion of a member whose record changed."""
         if member.state is MemberState.SUSPECT:
-            self.watch(member)
+            self.add(member)
         else:
-            self.drop(member.name)
+            self.discard(member.name)
 
-    def start_over(self):
-        """Give all suspects their whole time again."""
+    def restart_timeouts(self):
+        """Give all suspected members the full timeout again."""
         deadline = self.clock() + self.timeout()
         for suspicion in self.by_name.values():
             suspicion.deadline = deadline
 
-    def take_over(self):
-        """Forget those whose time is over; return names and incarnations."""
-        at = self.clock()
-        over = [
+    def pop_expired(self):
+        """Remove expired suspicions; return their names and incarnations."""
+        now = self.clock()
+        expired = [
             (name, suspicion.incarnation)
             for name, suspicion in self.by_name.items()
-            if suspicion.deadline <= at
+            if suspicion.deadline <= now
         ]
-        for name, _ in over:
+        for name, _ in expired:
             del self.by_name[name]
-        return over
+        return expired
--- a/tests/unit/daemon/test_membership_rules.py
+++ b/tests/unit/daemon/test_membership_rules.py
@@ -22,7 +22,7 @@
     MemberTable,
 )
 from papayabay_daemon._internal.membership.update_queue import (
-    Budget,
+    ByteBudget,
     UpdateQueue,
     transmit_limit,
 )
@@ -159,14 +159,16 @@
                 decode_updates(record[:size])
 
     def test_news_stays_within_packet_and_budget(self):
-        queue, budget = UpdateQueue(), Budget(0.0, rate=100, burst=2_000)
+        queue, budget = UpdateQueue(), ByteBudget(0.0, rate=100, burst=2_000)
         dead = {f"vm-{n}": make_member(f"vm-{n}") for n in range(650)}
         for name in dead:
             queue.add(name)
         told = set()
         while len(told) < 650:
             room = self.sealer.room(self.packet)
-            news = queue.take(room, lambda name: encode_short(dead[name]), 13_000)
+            news = queue.next_updates(
+                room, lambda name: encode_short(dead[name]), 13_000
+            )
             datagram = self.sealer.seal(self.packet, news)
             self.assertLessEqual(len(datagram), PACKET_BYTES)
             names = {u.name for u in self.sealer.open(datagram).updates}
@@ -180,7 +182,7 @@
         queue = UpdateQueue()
         queue.add("a")
         sent = 0
-        while queue.take(1_000, lambda name: b"x", 13_000):
+        while queue.next_updates(1_000, lambda name: b"x", 13_000):
             sent += 1
         self.assertEqual(sent, 21)
         self.assertEqual(len(queue), 0)
