--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/detector.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/detector.py
@@ -1,4 +1,4 @@
-"""Finds out who is dead: probes, indirect probes and suspicion."""
+"""Failure detection by probes, indirect probes and suspicion, as in SWIM."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -8,33 +8,47 @@
 from papayabay_daemon._internal.membership.suspicion import Suspicions
 
 HELPERS = 3
-"""Members asked to probe one that did not answer, as SWIM's authors chose."""
+"""Members that probe one that did not answer; the number in SWIM's paper."""
 DIRECT_SHARE = 0.3
-"""Part of a period that a direct probe has: many round trips in a region."""
+"""Timeout of a direct probe as a share of the period. It allows for many round
+trips within a region."""
 HELPER_SHARE = 0.3
-"""Part of a period that a helper's probe has."""
-LATE_SHARE = 0.25
-"""Part of its time by which a timer may be late on a healthy daemon."""
-LATE_MIN_SECONDS = 0.1
-"""The same at least: a collection of garbage, a busy machine."""
+"""Timeout of a helper's probe as a share of the period."""
+TIMER_LAG_SHARE = 0.25
+"""Share of its timeout by which a timer may fire late on a healthy daemon."""
+TIMER_LAG_MIN_SECONDS = 0.1
+"""Lag that is allowed for the shortest timers too. Garbage collection and a
+busy machine delay them by as much."""
 HEALTH_MAX = 8
-"""Bound of the own health score, as in Lifeguard; timeouts grow with it."""
+"""Upper bound of the local health score, as in Lifeguard: 0 is healthy, and
+the timeouts grow with the score."""
 URGENT_MAX = 8
-"""Probes out of turn that are begun together."""
-PROBES_FOR_OTHERS_MAX = 64
-"""Probes for others under way; further requests for one are dropped."""
+"""Out-of-turn probes that are started together."""
+INDIRECT_PROBES_MAX = 64
+"""In-flight probes on behalf of others; further requests are dropped."""
 DEAD_PROBE_PERIODS = 10
-"""Periods between two probes of one of the dead."""
-MISSED_SECONDS = 60.0
-MISSED_PER_PERIOD = 2
-"""Members lost within a minute that are asked again in each period: nearly all
-restarts take less, and two packets are no more than a probe costs."""
+"""Periods between two pings of a random dead member."""
+RECENTLY_LOST_SECONDS = 60.0
+"""Age up to which a lost member may be restarting; nearly all restarts take
+less."""
+LOST_PINGS_PER_PERIOD = 2
+"""Recently lost members that are pinged in each period. Two packets are no
+more than a probe costs."""
 SEQUENCE_MASK = 0xFFFFFFFF
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe that waits for its answer."""
+    """An in-flight probe.
+
+    Attributes
+    ----------
+    target : str
+        Name of the probed member.
+    answered : asyncio.Event
+    nacks : int
+        Helpers that replied without an answer from the target.
+    """
 
     target: str
     answered: asyncio.Event = field(default_factory=asyncio.Event)
@@ -42,7 +56,7 @@
 
 
 class Detector:
-    """Probes one member a period, in random order, each once a round.
+    """Probes one member per period, in random order, each once per round.
 
     Parameters
     ----------
@@ -52,7 +66,22 @@
     random : random.Random
     clock : callable
     apply : callable
-        Takes the updates that this daemon itself concludes.
+        Called with each update that results from a failed probe or an
+        expired suspicion.
+
+    Attributes
+    ----------
+    probes : dict of int to Probe
+        In-flight probes by sequence number.
+    round : list of str
+        Names that are still to be probed in this round, the next one last.
+    urgent : dict of str to None
+        Names to be probed out of turn, in order.
+    health : int
+        Local health score; 0 is healthy, up to `HEALTH_MAX`.
+    epoch : int
+        Raised after a pause of this process; probes of an earlier epoch
+        are void.
     """
 
     def __init__(self, timing, table, gossip, random, clock, apply):
@@ -74,7 +103,7 @@
         self.periods = 0
         self.pauses = 0
         self.group = None
-        self.helping = 0
+        self.indirect_probes = 0
 
     async def run(self):
         """Probe until cancelled."""
@@ -83,41 +112,44 @@
             try:
                 await self.run_periods(group)
             finally:
-                # Packets still come in while the tasks end; a task made
+                # Packets still arrive while the tasks end. Creating a task
                 # for one of them would raise in the socket's callback.
                 self.group = None
 
     async def run_periods(self, group):
-        """Start probes as they fall due."""
+        """Start the probes of each period, and urgent ones in between."""
         due = self.clock()
         while True:
-            await self.rest_until(due)
-            self.conclude()
-            for member in self.take_urgent():
+            await self.wait_until(due)
+            self.expire_suspicions()
+            for member in self.pop_urgent():
                 group.create_task(self.probe(member))
             if self.clock() >= due:
                 due = self.clock() + self.period
                 self.start_period(group)
 
-    async def rest_until(self, due):
-        """Wait for the next period or an urgent probe; notice a pause."""
+    async def wait_until(self, due):
+        """Wait for the next period or an urgent probe.
+
+        A timer that fires much too late shows that this process was paused.
+        """
         left = max(0.0, due - self.clock())
         await wait_event(self.wake, left)
         self.wake.clear()
-        if self.clock() - due > self.slack(self.period):
-            self.resumed()
+        if self.clock() - due > self.timer_lag_limit(self.period):
+            self.handle_pause()
 
-    def slack(self, timeout):
+    def timer_lag_limit(self, timeout):
         """Return by how much a timer may be late on a healthy daemon."""
-        return max(LATE_MIN_SECONDS, timeout * LATE_SHARE)
+        return max(TIMER_LAG_MIN_SECONDS, timeout * TIMER_LAG_SHARE)
 
-    def resumed(self):
-        """Start over after this daemon itself stood still.
+    def handle_pause(self):
+        """Void the running probes and timeouts after a pause of this process.
 
-        A paused daemon finds all its timers run out although the answers
-        lie unread in its socket; it would declare healthy members dead, as
-        seen by suspicions of many right after a resume. So what began
-        before the pause counts for nothing.
+        After a pause all timers have run out, although the answers may lie
+        unread in the socket. The daemon would suspect many healthy members
+        right after it resumes, and declare them dead. So probes from before
+        the pause are ignored, and suspicions get their full timeout again.
         """
         self.pauses += 1
         self.epoch += 1
@@ -125,44 +157,48 @@
         self.suspicions.restart_timeouts()
 
     def start_period(self, group):
-        """Probe the next member, and now and then one that is dead.
+        """Probe the next member and ping lost ones.
 
-        Two halves of a healed network hold each other for dead and would
-        never speak again; a probe of the dead makes them refute.
+        After a network partition heals, each side considers the other one
+        dead and would never contact it again. A ping of a dead member makes
+        it refute.
         """
         self.periods += 1
         self.table.expire(self.clock())
         member = self.next_member()
         if member is not None:
             group.create_task(self.probe(member))
-        for missing in self.missing():
-            self.ping(missing, self.next_sequence())
+        for lost in self.recently_lost():
+            self.ping(lost, self.next_sequence())
         if self.periods % DEAD_PROBE_PERIODS == 0 and self.table.tombstones:
-            self.probe_dead()
+            self.ping_dead()
 
-    def missing(self):
-        """Return a few of the members that were lost a short while ago.
+    def recently_lost(self):
+        """Return a few random members that were lost a short while ago.
 
-        A daemon that restarts finds the others by the store. While that is
-        away, nobody but those who lost it can tell it who is there and which
-        configuration is in force; in its turn it would be asked after many
-        seconds, in which its target serves nobody.
+        A restarted daemon finds the others through the store. During a store
+        outage only the daemons that lost it can contact it, and so tell it
+        the members and the configuration in force. Pinged only in its turn,
+        it would wait for many seconds, while its target serves no calls.
         """
-        oldest = self.clock() - MISSED_SECONDS
+        oldest = self.clock() - RECENTLY_LOST_SECONDS
         lost = [name for name, died in self.table.tombstones.items() if died >= oldest]
         names = [*lost, *self.suspicions.names()]
-        drawn = self.random.sample(names, min(len(names), MISSED_PER_PERIOD))
-        return [self.table.members[name] for name in drawn]
+        sample = self.random.sample(names, min(len(names), LOST_PINGS_PER_PERIOD))
+        return [self.table.members[name] for name in sample]
 
-    def probe_dead(self):
-        """Ping one of the dead, telling it so."""
+    def ping_dead(self):
+        """Ping a random dead member, telling it that it is declared dead."""
         position = self.random.randrange(len(self.table.tombstones))
         name = list(self.table.tombstones)[position]
         member = self.table.members[name]
         self.ping(member, self.next_sequence())
 
     def next_member(self):
-        """Return the next of this round that is still there."""
+        """Return the next live member of this round, or None.
+
+        A new round begins when all members of the last one were probed.
+        """
         local = self.table.local.name
         for _ in range(2):
             while self.round:
@@ -173,22 +209,22 @@
             self.random.shuffle(self.round)
         return None
 
-    def joined(self, name):
-        """Give a new member a random place in the present round."""
+    def add_to_round(self, name):
+        """Insert a new member at a random position of the current round."""
         if not self.round:
             return
         position = self.random.randrange(len(self.round))
         self.round.append(self.round[position])
         self.round[position] = name
 
-    def hurry(self, name):
-        """Probe a member now."""
+    def probe_soon(self, name):
+        """Queue a member for a probe out of turn."""
         if len(self.urgent) < self.table.live_count():
             self.urgent[name] = None
             self.wake.set()
 
-    def take_urgent(self):
-        """Return the members to probe now, bounded per turn."""
+    def pop_urgent(self):
+        """Remove and return up to `URGENT_MAX` members to be probed now."""
         names = list(self.urgent)[:URGENT_MAX]
         for name in names:
             del self.urgent[name]
@@ -197,30 +233,37 @@
         return [member for member in found if member and member is not local]
 
     def next_sequence(self):
-        """Return a number that no waiting probe has."""
+        """Return a sequence number that no in-flight probe has."""
         self.sequence = (self.sequence + 1) & SEQUENCE_MASK
         return self.sequence
 
     def ping(self, member, sequence, record=b""):
-        """Send a ping with what the member must not miss.
-
-        One who is suspected hears of it, to refute; and whoever is pinged
-        by a leaving daemon hears that, however full the news queue is. An
-        encoded record goes with it if one is given.
+        """Send a ping with the updates that this member has to receive.
+
+        A suspected or dead member receives that state, so that it can
+        refute. A leaving daemon sends its own state with each ping, however
+        full the update queue is.
+
+        Parameters
+        ----------
+        member : Member
+        sequence : int
+        record : bytes
+            Encoded update to send in addition.
         """
-        updates = [member] if self.is_doubted(member) else []
+        updates = [member] if self.needs_refutation(member) else []
         if self.table.local.state is MemberState.LEAVING:
             updates.append(self.table.local)
-        first = record + b"".join(encode_short(other) for other in updates)
+        required = record + b"".join(encode_short(other) for other in updates)
         address = (member.host, member.gossip_port)
-        self.gossip.send(Kind.PING, sequence, member.name, address, first=first)
+        self.gossip.send(Kind.PING, sequence, member.name, address, required=required)
 
-    def is_doubted(self, member):
-        """Return whether a member has something to refute."""
+    def needs_refutation(self, member):
+        """Return whether a live member would have to refute its state."""
         return member.state in (MemberState.SUSPECT, MemberState.DEAD)
 
     async def probe(self, member):
-        """Probe a member directly, then through others, then suspect it."""
+        """Probe a member directly, then through helpers, then suspect it."""
         incarnation = member.incarnation
         epoch = self.epoch
         sequence = self.next_sequence()
@@ -228,48 +271,52 @@
         scaled = self.period * (1 + self.health / 2)
         try:
             self.ping(member, sequence)
-            if await self.answered(probe, scaled * DIRECT_SHARE):
-                return self.succeeded(member)
-            helpers = self.ask_helpers(member, sequence)
-            if await self.answered(probe, scaled * (1 - DIRECT_SHARE)):
-                return self.succeeded(member)
+            if await self.wait_for_answer(probe, scaled * DIRECT_SHARE):
+                return self.probe_succeeded(member)
+            helpers = self.send_helper_requests(member, sequence)
+            if await self.wait_for_answer(probe, scaled * (1 - DIRECT_SHARE)):
+                return self.probe_succeeded(member)
         finally:
             del self.probes[sequence]
         if epoch == self.epoch and incarnation == member.incarnation:
-            self.failed(member, probe, helpers)
+            self.probe_failed(member, probe, helpers)
 
-    async def answered(self, probe, timeout):
-        """Return whether a probe was answered in time.
+    async def wait_for_answer(self, probe, timeout):
+        """Return whether a probe was answered within the timeout.
 
-        When the timer itself fires late, the answer may lie unread; the
-        probe is then void, see `resumed`.
+        When the timer itself fires late, the answer may lie unread in the
+        socket, and the probe is void; see `handle_pause`.
         """
         started = self.clock()
         if await wait_event(probe.answered, timeout):
             return True
-        if self.clock() - started > timeout + self.slack(timeout):
-            self.resumed()
+        if self.clock() - started > timeout + self.timer_lag_limit(timeout):
+            self.handle_pause()
         return False
 
-    def ask_helpers(self, member, sequence):
-        """Ask others to probe a member; return how many."""
+    def send_helper_requests(self, member, sequence):
+        """Ask random members to probe a member; return their number."""
         live = self.table.live()
-        drawn = self.random.sample(live, min(len(live), HELPERS + 2))
+        sample = self.random.sample(live, min(len(live), HELPERS + 2))
         local = self.table.local
-        helpers = [other for other in drawn if other not in (local, member)][:HELPERS]
+        helpers = [other for other in sample if other not in (local, member)][:HELPERS]
         for helper in helpers:
             address = (helper.host, helper.gossip_port)
             self.gossip.send(Kind.PING_VIA, sequence, member.name, address)
         return len(helpers)
 
-    def succeeded(self, member):
-        """Note an answer."""
+    def probe_succeeded(self, member):
+        """Improve the local health score; clear a leaving member's timeout."""
         self.health = max(0, self.health - 1)
         if member.state is MemberState.LEAVING:
             self.suspicions.discard(member.name)
 
-    def failed(self, member, probe, helpers):
-        """Suspect a member; doubt oneself when not even helpers answered."""
+    def probe_failed(self, member, probe, helpers):
+        """Suspect a member.
+
+        When no helper replied either, this daemon itself may be the cause,
+        and its health score gets worse.
+        """
         if helpers and not probe.nacks:
             self.health = min(HEALTH_MAX, self.health + 1)
         if member.state is MemberState.ALIVE:
@@ -279,38 +326,41 @@
             self.suspicions.add(member)
 
     def suspicion_timeout(self):
-        """Return the seconds that a suspect has; more when unwell oneself."""
+        """Return the seconds that a suspect has to refute.
+
+        They grow with the local health score.
+        """
         return self.suspicion * (1 + self.health)
 
-    def conclude(self):
-        """Declare dead whose time is over."""
+    def expire_suspicions(self):
+        """Declare the members dead whose suspicion has expired."""
         for name, incarnation in self.suspicions.pop_expired():
             self.apply(Update(name, incarnation, MemberState.DEAD))
 
-    def take_ack(self, packet):
-        """Note the answer to a probe."""
+    def handle_ack(self, packet):
+        """Mark the probe that a packet answers as answered."""
         probe = self.probes.get(packet.sequence)
         if probe is not None and packet.target == probe.target:
             probe.answered.set()
 
-    def take_nack(self, packet):
-        """Note that a helper lives but got no answer either."""
+    def handle_nack(self, packet):
+        """Count a helper that is alive but got no answer from the target."""
         probe = self.probes.get(packet.sequence)
         if probe is not None:
             probe.nacks += 1
 
-    def help(self, packet, address):
-        """Probe a member for another daemon."""
+    def handle_ping_via(self, packet, address):
+        """Start a probe on behalf of another daemon."""
         member = self.table.get(packet.target)
-        if self.group is None or self.helping >= PROBES_FOR_OTHERS_MAX:
+        if self.group is None or self.indirect_probes >= INDIRECT_PROBES_MAX:
             return
         if member is None or member is self.table.local:
             return
-        self.helping += 1
+        self.indirect_probes += 1
         self.group.create_task(self.probe_for(packet, member, address))
 
     async def probe_for(self, packet, member, address):
-        """Probe, and pass on the answer or the lack of it."""
+        """Probe a member, and send the requester an ACK or a NACK."""
         sequence = self.next_sequence()
         probe = self.probes[sequence] = Probe(member.name)
         try:
@@ -318,16 +368,17 @@
             answered = await wait_event(probe.answered, self.period * HELPER_SHARE)
         finally:
             del self.probes[sequence]
-            self.helping -= 1
+            self.indirect_probes -= 1
         kind = Kind.ACK if answered else Kind.NACK
         self.gossip.send(kind, packet.sequence, member.name, address)
 
 
 async def wait_event(event, timeout):
-    """Return whether an event was set within a time.
+    """Return whether an event was set within the timeout.
 
-    Not by `asyncio.wait_for`: in Python 3.11 it drops a cancellation that
-    comes together with the event, and the daemon would never end.
+    `asyncio.wait_for` is not used, because that of Python 3.11 drops a
+    cancellation that comes together with the event; the daemon would then
+    never end.
     """
     try:
         async with asyncio.timeout(timeout):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/gossip.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/gossip.py
@@ -1,4 +1,4 @@
-"""The UDP socket of gossip: sends packets with updates, and receives."""
+"""The UDP socket that sends and receives gossip packets."""
 
 import asyncio
 
@@ -10,20 +10,28 @@
 )
 
 DATAGRAM_OVERHEAD = 28
+"""Bytes of the IPv4 and UDP headers."""
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """One socket and the queue of updates that it transmits.
+    """The gossip socket and the queue of the updates that it transmits.
 
     Parameters
     ----------
     table : MemberTable
     sealer : Sealer
     period : float
-        Seconds between two probes; the budget of updates is per period.
+        Seconds between two probes; the byte budget of updates is per period.
     clock : callable
     receive : callable
-        Takes each authentic packet and its sender's address.
+        Called with each authentic packet and its sender's address.
+
+    Attributes
+    ----------
+    configuration : int
+        Configuration version that each packet carries.
+    strays : int
+        Received datagrams that are malformed or not authentic.
     """
 
     def __init__(self, table, sealer, period, clock, receive):
@@ -43,7 +51,7 @@
         self.send_errors = 0
 
     async def open(self, host, port):
-        """Bind the socket and return the port that it got."""
+        """Bind the socket and return its port."""
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, port)
@@ -51,12 +59,12 @@
         return self.transport.get_extra_info("sockname")[1]
 
     def close(self):
-        """Close the socket; sending afterwards does nothing."""
+        """Close the socket; packets sent later are dropped."""
         if self.transport is not None:
             self.transport.close()
 
-    def send(self, kind, sequence, target, address, wants=False, first=b""):
-        """Send one packet with as many updates as it and the budget hold.
+    def send(self, kind, sequence, target, address, wants_record=False, required=b""):
+        """Send one packet, filled up with updates within the byte budget.
 
         Parameters
         ----------
@@ -65,10 +73,10 @@
         target : str
             Name of the probed member.
         address : tuple of (str, int)
-        wants : bool
-            Whether to ask for the receiver's record.
-        first : bytes
-            Encoded updates that this receiver must get.
+        wants_record : bool
+            Whether to request the receiver's record.
+        required : bytes
+            Encoded updates that are sent whatever the budget.
         """
         if self.transport is None or self.transport.is_closing():
             return
@@ -80,31 +88,31 @@
             local.incarnation,
             self.configuration,
             target,
-            wants,
+            wants_record,
         )
-        updates = self.pick_updates(packet, first)
+        updates = self.pick_updates(packet, required)
         datagram = self.sealer.seal(packet, updates)
         self.budget.spend(sum(map(len, updates)))
         self.packets_sent += 1
         self.bytes_sent += len(datagram) + DATAGRAM_OVERHEAD
         self.transport.sendto(datagram, address)
 
-    def pick_updates(self, packet, first):
-        """Return the encoded updates for a packet."""
-        room = self.sealer.room(packet) - len(first)
+    def pick_updates(self, packet, required):
+        """Return the encoded updates for a packet, the required ones first."""
+        room = self.sealer.room(packet) - len(required)
         if not self.updates.level_of:
-            return (first,)
+            return (required,)
         room = min(room, self.budget.available(self.clock()))
         updates = self.updates.next_updates(room, self.encode, self.table.live_count())
-        return (first, *updates)
+        return (required, *updates)
 
     def encode(self, name):
-        """Return the encoded update of a member; none once it is forgotten."""
+        """Return the encoded update of a member; empty if it was removed."""
         member = self.table.members.get(name)
         return encode_update(member) if member else b""
 
     def datagram_received(self, data, address):
-        """Open a datagram; one that is not authentic is only counted."""
+        """Pass on an authentic packet; count any other datagram as stray."""
         self.bytes_received += len(data) + DATAGRAM_OVERHEAD
         try:
             packet = self.sealer.open(data)
@@ -115,5 +123,5 @@
         self.receive(packet, address)
 
     def error_received(self, error):
-        """Count what the system reports, such as an unreachable port."""
+        """Count a socket error, such as an unreachable port."""
         self.send_errors += 1
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
@@ -77,7 +77,7 @@
             Sealer(settings.cluster),
             settings.timing.gossip_period_ms / 1_000,
             clock,
-            self.take_packet,
+            self.handle_packet,
         )
         self.detector = Detector(
             settings.timing, self.table, self.gossip, random, clock, self.apply
@@ -241,7 +241,7 @@
 
     def note_link_lost(self, name):
         """Probe a member now, since its link broke."""
-        self.detector.hurry(name)
+        self.detector.probe_soon(name)
 
     def mark_leaving(self, name):
         """Apply a member's own announcement that it leaves."""
@@ -259,7 +259,7 @@
         if member is None:
             return
         if strange:
-            self.detector.joined(member.name)
+            self.detector.add_to_round(member.name)
         self.detector.suspicions.update(member)
         if gossip:
             self.gossip.updates.add(member.name)
@@ -297,9 +297,9 @@
         own = (self.local.host, self.local.gossip_port)
         return own != (member.host, member.gossip_port)
 
-    def take_packet(self, packet, address):
+    def handle_packet(self, packet, address):
         """Take in a packet and answer it."""
-        self.receiver.take_packet(packet, address)
+        self.receiver.handle_packet(packet, address)
 
     def status(self):
         """Return counters and the state of membership as plain values."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/receiving.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/receiving.py
@@ -4,7 +4,7 @@
 
 
 class PacketReceiver:
-    """Applies the updates of packets, and answers probes.
+    """Applies the updates that packets carry, and answers probes.
 
     Parameters
     ----------
@@ -12,7 +12,7 @@
     gossip : Gossip
     detector : Detector
     apply : callable
-        Takes each update.
+        Called with each update.
     clock : callable
 
     Attributes
@@ -22,6 +22,7 @@
     version_listeners : list of callable
         Called with a newer version and the member that holds it.
     misdirected : int
+        Packets from this daemon itself or for another member.
     """
 
     def __init__(self, table, gossip, detector, apply, clock):
@@ -35,7 +36,7 @@
         self.version_listeners = []
         self.misdirected = 0
 
-    def take_packet(self, packet, address):
+    def handle_packet(self, packet, address):
         """Process a packet and answer it."""
         if packet.sender == self.local.name:
             self.misdirected += 1
@@ -50,11 +51,11 @@
         if packet.kind is Kind.PING:
             self.answer_ping(packet, address)
         elif packet.kind is Kind.ACK:
-            self.detector.take_ack(packet)
+            self.detector.handle_ack(packet)
         elif packet.kind is Kind.NACK:
-            self.detector.take_nack(packet)
+            self.detector.handle_nack(packet)
         else:
-            self.detector.help(packet, address)
+            self.detector.handle_ping_via(packet, address)
 
     def notify_version(self, packet):
         """Notify the listeners of a newer configuration version."""
@@ -62,19 +63,20 @@
             listener(packet.configuration, packet.sender)
 
     def answer_ping(self, packet, address):
-        """Answer, unless the ping was for the former owner of this address.
+        """Answer a ping, unless it was meant for another member.
 
-        The answer carries a suspicion of the sender, for it to refute, or
-        requests its record if the one known here is outdated.
+        A former owner of this address may still be pinged here. The answer
+        tells a suspected or dead sender its state, so that it can refute, or
+        requests its record if the one known here is stale.
         """
         if packet.target != self.local.name:
             self.misdirected += 1
             return
         sender = self.table.members.get(packet.sender)
-        wants = sender is None or sender.incarnation < packet.incarnation
-        first = b""
-        if not wants and self.detector.is_doubted(sender):
-            first = encode_short(sender)
+        wants_record = sender is None or sender.incarnation < packet.incarnation
+        required = b""
+        if not wants_record and self.detector.needs_refutation(sender):
+            required = encode_short(sender)
         self.gossip.send(
-            Kind.ACK, packet.sequence, self.local.name, address, wants, first
+            Kind.ACK, packet.sequence, self.local.name, address, wants_record, required
         )
--- a/tests/unit/daemon/test_membership_cluster.py
+++ b/tests/unit/daemon/test_membership_cluster.py
@@ -84,12 +84,12 @@
         node.apply(Update("b", other.local.incarnation, MemberState.ALIVE, other.local))
         node.apply(Update("b", other.local.incarnation, MemberState.SUSPECT))
         clock.skip += 30.0
-        node.detector.resumed()
-        node.detector.conclude()
+        node.detector.handle_pause()
+        node.detector.expire_suspicions()
         self.assertIsNotNone(node.get("b"))
         self.assertEqual(node.detector.pauses, 1)
         clock.skip += 30.0
-        node.detector.conclude()
+        node.detector.expire_suspicions()
         self.assertIsNone(node.get("b"))
 
     async def test_ends_when_cancelled_as_an_answer_comes(self):
