--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/packets.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/packets.py
@@ -1,4 +1,4 @@
-"""Gossip packets: compact, bounded and authenticated."""
+"""Encoding, decoding and authentication of gossip packets."""
 
 import hashlib
 import hmac
@@ -12,8 +12,10 @@
 
 PROTOCOL = 1
 PACKET_BYTES = 1_200
+"""Largest datagram."""
 MAC_BYTES = 16
-SHORT = 0x80
+SHORT_FORM = 0x80
+"""Flag of an update that holds only state, incarnation and name."""
 STATE_MASK = 0x03
 WANTS_RECORD = 0x01
 HEADER = struct.Struct("!BBBIIQQ")
@@ -22,7 +24,7 @@
 
 
 class Kind(IntEnum):
-    """What a packet asks or answers."""
+    """Kind of a packet; PING_VIA requests an indirect probe."""
 
     PING = 1
     ACK = 2
@@ -32,7 +34,7 @@
 
 @dataclass(slots=True)
 class Update:
-    """News of a member; `member` is None in the short form."""
+    """Update of a member's state; `member` is None in the short form."""
 
     name: str
     incarnation: int
@@ -42,22 +44,22 @@
 
 @dataclass(slots=True)
 class Packet:
-    """One datagram.
+    """Content of one datagram.
 
     Attributes
     ----------
     kind : Kind
     sequence : int
-        Ties an answer to its probe.
+        Matches an answer to its probe.
     sender : str
     incarnation : int
-        The sender's own.
+        Incarnation of the sender.
     configuration : int
-        Configuration version in force at the sender.
+        Latest configuration version that the sender knows.
     target : str
-        Who is probed.
+        Name of the probed member.
     wants_record : bool
-        The sender does not know the receiver's present record.
+        Whether the sender requests the receiver's current record.
     updates : list of Update
     """
 
@@ -71,38 +73,42 @@
     updates: list[Update] = field(default_factory=list)
 
 
-def put_text(text):
-    """Return a text of at most 255 bytes with its length before it."""
+def encode_text(text):
+    """Return a text of at most 255 bytes, prefixed with its length."""
     content = text.encode()
     if len(content) > 255:
-        raise ValueError(f"text of {len(content)} bytes; at most 255 can be sent")
+        raise ValueError(f"text has {len(content)} bytes; at most 255 are allowed")
     return bytes((len(content),)) + content
 
 
-def take_text(content, at):
+def decode_text(content, offset):
     """Return the text at an offset, interned, and the offset after it."""
-    size = content[at]
-    end = at + 1 + size
+    size = content[offset]
+    end = offset + 1 + size
     if end > len(content):
-        raise ProtocolError("text reaches past the end")
-    return intern(str(content[at + 1 : end], "utf-8")), end
+        raise ProtocolError(
+            f"text at offset {offset} ends at {end}, beyond the {len(content)} bytes"
+        )
+    return intern(str(content[offset + 1 : end], "utf-8")), end
 
 
 def encode_short(member):
     """Return the short form: state, incarnation and name."""
-    return STATE.pack(SHORT | member.state, member.incarnation) + put_text(member.name)
+    return STATE.pack(SHORT_FORM | member.state, member.incarnation) + encode_text(
+        member.name
+    )
 
 
 def encode_full(member):
-    """Return the whole record of a member."""
+    """Return the full record of a member."""
     return b"".join(
         (
             STATE.pack(member.state, member.incarnation),
-            put_text(member.name),
-            put_text(member.host),
-            put_text(member.failure_domain),
-            put_text(member.region),
-            put_text(member.service),
+            encode_text(member.name),
+            encode_text(member.host),
+            encode_text(member.failure_domain),
+            encode_text(member.region),
+            encode_text(member.service),
             PORTS.pack(
                 member.link_port,
                 member.gossip_port,
@@ -114,56 +120,57 @@
 
 
 def encode_update(member):
-    """Return the record as gossip carries it.
+    """Return an update as gossip carries it.
 
-    Whoever is alive is told in full; of the others only the state is news.
+    Live members are sent in full. For all others only the state matters, so
+    the short form is enough.
     """
     if member.state is MemberState.ALIVE:
         return encode_full(member)
     return encode_short(member)
 
 
-def decode_updates(content, at=0):
+def decode_updates(content, offset=0):
     """Return all updates from an offset to the end.
 
     Raises
     ------
     ProtocolError
-        When the bytes are not whole updates.
+        When an update is malformed or truncated.
     """
     updates = []
     try:
-        while at < len(content):
-            update, at = decode_update(content, at)
+        while offset < len(content):
+            update, offset = decode_update(content, offset)
             updates.append(update)
     except (struct.error, IndexError, UnicodeDecodeError) as error:
         raise ProtocolError(f"malformed member record: {error}") from None
     return updates
 
 
-def decode_update(content, at):
+def decode_update(content, offset):
     """Return the update at an offset and the offset after it."""
-    flags, incarnation = STATE.unpack_from(content, at)
+    flags, incarnation = STATE.unpack_from(content, offset)
     state = MemberState(flags & STATE_MASK)
-    name, at = take_text(content, at + STATE.size)
+    name, offset = decode_text(content, offset + STATE.size)
     if not name:
-        raise ProtocolError("member without a name")
-    if flags & SHORT:
-        return Update(name, incarnation, state), at
-    host, at = take_text(content, at)
-    domain, at = take_text(content, at)
-    region, at = take_text(content, at)
-    service, at = take_text(content, at)
-    link, gossip, status, slots = PORTS.unpack_from(content, at)
+        raise ProtocolError("member record has an empty name")
+    if flags & SHORT_FORM:
+        return Update(name, incarnation, state), offset
+    host, offset = decode_text(content, offset)
+    domain, offset = decode_text(content, offset)
+    region, offset = decode_text(content, offset)
+    service, offset = decode_text(content, offset)
+    link, gossip, status, slots = PORTS.unpack_from(content, offset)
     member = Member(
         name, incarnation, host, link, gossip, status, domain, region, service, slots
     )
     member.state = state
-    return Update(name, incarnation, state, member), at + PORTS.size
+    return Update(name, incarnation, state, member), offset + PORTS.size
 
 
 class Sealer:
-    """Encodes and checks the packets of one cluster.
+    """Encodes, authenticates and decodes the packets of one cluster.
 
     Parameters
     ----------
@@ -176,19 +183,19 @@
         self.secret = cluster.secret.encode()
 
     def room(self, packet):
-        """Return the bytes left for updates in a packet."""
+        """Return the number of bytes left for updates in a packet."""
         names = len(packet.sender.encode()) + len(packet.target.encode()) + 2
         return PACKET_BYTES - HEADER.size - MAC_BYTES - names
 
     def seal(self, packet, updates=()):
-        """Return the datagram.
+        """Return the authenticated datagram of a packet.
 
         Parameters
         ----------
         packet : Packet
-            Its `updates` are not read.
+            Its `updates` are ignored.
         updates : iterable of bytes
-            Already encoded, within `room`.
+            Encoded updates of at most `room` bytes in all.
         """
         head = HEADER.pack(
             PROTOCOL,
@@ -200,7 +207,7 @@
             packet.configuration,
         )
         body = b"".join(
-            (head, put_text(packet.sender), put_text(packet.target), *updates)
+            (head, encode_text(packet.sender), encode_text(packet.target), *updates)
         )
         return body + self.mac(body)
 
@@ -214,24 +221,28 @@
         Raises
         ------
         ProtocolError
-            For anything that no daemon of this cluster has sent.
+            When the datagram is malformed, not authentic, or of another
+            protocol version or cluster.
         """
         if not HEADER.size + MAC_BYTES < len(datagram) <= PACKET_BYTES:
-            raise ProtocolError("size of no packet")
+            raise ProtocolError(f"gossip packet has invalid size {len(datagram)}")
         body = datagram[:-MAC_BYTES]
         if not hmac.compare_digest(self.mac(body), datagram[-MAC_BYTES:]):
-            raise ProtocolError("not authenticated")
+            raise ProtocolError("gossip packet has a wrong authentication code")
         protocol, kind, flags, cluster, sequence, incarnation, configuration = (
             HEADER.unpack_from(body)
         )
         if protocol != PROTOCOL or cluster != self.cluster:
-            raise ProtocolError("another protocol or cluster")
+            raise ProtocolError(
+                f"gossip packet of another cluster, or of protocol {protocol}; "
+                f"{PROTOCOL} is supported"
+            )
         try:
-            sender, at = take_text(body, HEADER.size)
-            target, at = take_text(body, at)
+            sender, offset = decode_text(body, HEADER.size)
+            target, offset = decode_text(body, offset)
             kind = Kind(kind)
         except (IndexError, ValueError) as error:
-            raise ProtocolError(f"malformed packet: {error}") from None
+            raise ProtocolError(f"malformed gossip packet: {error}") from None
         return Packet(
             kind,
             sequence,
@@ -240,5 +251,5 @@
             configuration,
             target,
             bool(flags & WANTS_RECORD),
-            decode_updates(body, at),
+            decode_updates(body, offset),
         )
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/table.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/table.py
@@ -1,4 +1,4 @@
-"""All known members, the rules by which news changes them, and indexes."""
+"""The table of all known members, its merge rules and its indexes."""
 
 import zlib
 from collections import OrderedDict
@@ -7,25 +7,28 @@
 from papayabay_daemon._internal.interfaces import Member, MemberState
 
 BUCKETS = 512
+"""Parts of the table that daemons compare by digest."""
 MEMBERS_MAX = 32_768
 TOMBSTONES_MAX = 4_096
 TOMBSTONE_SECONDS = 600.0
+"""How long a dead member is remembered."""
 
 
 def bucket_of(name):
-    """Return the bucket that a name belongs to, the same on every daemon."""
+    """Return the bucket of a name, which is the same on every daemon."""
     return zlib.crc32(name.encode()) % BUCKETS
 
 
 def fingerprint(member):
-    """Return 32 bits over what two daemons have to agree on.
+    """Return a 32-bit hash of what two daemons have to agree on.
 
-    Suspicion passes by itself and the dead are forgotten at different
-    times, so neither is part of it.
+    Suspicions are temporary, and dead members are forgotten at different
+    times, so neither is part of the hash.
 
-    Not a CRC: these are combined by exclusive or, and a CRC is linear. Of
-    names that differ in a few digits, different sets then have the same
-    digest, and two daemons would never see that they differ.
+    A CRC is not used, because it is linear and fingerprints are combined by
+    exclusive or. Different sets of names that differ in a few digits would
+    then have the same digest, and two daemons would never detect that their
+    tables differ.
     """
     leaving = member.state is MemberState.LEAVING
     text = f"{member.name} {member.incarnation} {leaving}".encode()
@@ -35,11 +38,23 @@
 class MemberTable:
     """Members by name, by service and by bucket.
 
-    Known members keep their object; its fields change in place.
+    The object of a known member stays the same; its fields change in place.
 
     Parameters
     ----------
     local : Member
+        This daemon.
+
+    Attributes
+    ----------
+    members : dict of str to Member
+        All known members by name, dead ones included.
+    digests : list of int
+        The fingerprints of each bucket, combined by exclusive or.
+    tombstones : OrderedDict of str to float
+        Time at which each dead member was declared dead, oldest first.
+    refused : int
+        New members that were dropped because the table was full.
     """
 
     def __init__(self, local):
@@ -62,7 +77,10 @@
         return member
 
     def live(self):
-        """Return all that are not dead; one list until that changes."""
+        """Return all members that are not dead.
+
+        The same list object is returned until the members change.
+        """
         if self.live_list is None:
             self.live_list = [
                 member
@@ -72,7 +90,10 @@
         return self.live_list
 
     def upstreams(self, service):
-        """Return who takes calls of a service; one list until it changes."""
+        """Return the members that accept calls of a service.
+
+        The same list object is returned until the members change.
+        """
         found = self.service_lists.get(service)
         if found is None:
             names = self.services.get(service)
@@ -86,24 +107,24 @@
         """Return the number of members that are not dead."""
         return len(self.members) - len(self.tombstones)
 
-    def apply(self, update, at):
-        """Take in news of another member.
+    def apply(self, update, now):
+        """Apply an update of another member, if it wins.
 
         Parameters
         ----------
         update : Update
-        at : float
-            Time now, for the tombstones.
+        now : float
+            Current time, kept with a tombstone.
 
         Returns
         -------
         Member or None
-            The member when this was news.
+            The member if the update changed it.
         """
         known = self.members.get(update.name)
         if known is None:
             return self.add(update)
-        if not self.wins(update, known):
+        if not self.supersedes(update, known):
             return None
         if self.only_suspects(update, known):
             known.state = update.state
@@ -114,16 +135,18 @@
         known.incarnation = update.incarnation
         known.state = update.state
         self.add_to_indexes(known)
-        self.bury_or_revive(known, at)
+        self.update_tombstone(known, now)
         return known
 
-    def wins(self, update, known):
-        """Return whether news is newer than what is known.
+    def supersedes(self, update, known):
+        """Return whether an update is newer than the known record.
 
-        The short form has no announcement. Taken as suspicion of an
-        incarnation whose full record is not known, it would freeze the old
-        announcement under the new number: calls would go on to a service
-        that the member has left. So it has to wait for the full record.
+        The short form does not say which service the member announces. If a
+        suspicion of a newer incarnation were applied before that
+        incarnation's full record, the old announcement would stay under the
+        new number, and calls would still go to a service that the member no
+        longer serves. So such a suspicion is ignored until the full record
+        has arrived.
         """
         if update.incarnation == known.incarnation:
             return update.state > known.state
@@ -132,14 +155,14 @@
         return update.member is not None or update.state >= MemberState.LEAVING
 
     def only_suspects(self, update, known):
-        """Return whether just suspicion is new; no index depends on it."""
+        """Return whether only suspicion is new, on which no index depends."""
         return (
             update.state is MemberState.SUSPECT
             and update.incarnation == known.incarnation
         )
 
     def add(self, update):
-        """Enter a member that was unknown, unless it is dead or too much."""
+        """Add a new member, unless it is dead or the table is full."""
         member = update.member
         if member is None or update.state is MemberState.DEAD:
             return None
@@ -151,12 +174,12 @@
         return member
 
     def copy(self, source, known):
-        """Take over all fields of a newer full record."""
+        """Copy all fields of a newer full record to the known member."""
         for name in Member.__slots__:
             setattr(known, name, getattr(source, name))
 
     def add_to_indexes(self, member):
-        """Add a member to the indexes that its present state belongs in."""
+        """Add a member to the indexes for its current state."""
         self.live_list = None
         bucket = bucket_of(member.name)
         self.buckets[bucket][member.name] = member
@@ -168,7 +191,7 @@
             self.service_lists.pop(member.service, None)
 
     def remove_from_indexes(self, member):
-        """Take a member out of all indexes before it changes."""
+        """Remove a member from all indexes before it changes."""
         self.live_list = None
         if member.state is MemberState.DEAD:
             return
@@ -188,25 +211,25 @@
             setattr(self.local, name, value)
         self.add_to_indexes(self.local)
 
-    def bury_or_revive(self, member, at):
-        """Keep the tombstones in step with a changed member."""
+    def update_tombstone(self, member, now):
+        """Add the tombstone of a dead member, or remove that of a live one."""
         self.tombstones.pop(member.name, None)
         if member.state is not MemberState.DEAD:
             return
-        self.tombstones[member.name] = at
+        self.tombstones[member.name] = now
         while len(self.tombstones) > TOMBSTONES_MAX:
-            self.forget(next(iter(self.tombstones)))
+            self.evict(next(iter(self.tombstones)))
 
-    def expire(self, at):
-        """Forget the dead whose time is over."""
+    def expire(self, now):
+        """Evict the dead members whose tombstones have expired."""
         while self.tombstones:
             name, died = next(iter(self.tombstones.items()))
-            if at - died < TOMBSTONE_SECONDS:
+            if now - died < TOMBSTONE_SECONDS:
                 return
-            self.forget(name)
+            self.evict(name)
 
-    def forget(self, name):
-        """Drop a dead member."""
+    def evict(self, name):
+        """Remove a dead member."""
         del self.tombstones[name]
         del self.members[name]
         del self.buckets[bucket_of(name)][name]
