--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/seeds.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/seeds.py
@@ -1,4 +1,4 @@
-"""Seed rows in the table: where a daemon that knows nobody begins."""
+"""Seed rows in the table, which name members that a new daemon can join."""
 
 import hashlib
 import time
@@ -14,19 +14,22 @@
 PREFIX = "seeds/"
 SEEDS_PER_DOMAIN = 8
 SEEDS_MIN = 3
+"""Live seeds below which any daemon of the domain updates the row."""
 REFRESH_SECONDS = 60.0
+"""Age from which a row with dead or too few seeds is written again."""
 RENEW_SECONDS = 600.0
+"""Age from which a row is written again in any case."""
 FRESH_SECONDS = 3.0
-"""Age up to which a row names daemons that are just starting: longer than a
+"""Age up to which the seeds of a row may be just starting: longer than a
 process takes to start, and shorter than a caller waits for its answer."""
 ROWS_MAX = 200
-WRITE_TRIES = 3
+WRITE_ATTEMPTS = 3
 log = logbook.Logger("papayabay.membership")
 
 
 @dataclass(frozen=True, slots=True)
 class Seed:
-    """Where a daemon was last known to be."""
+    """The last known address of a daemon."""
 
     name: str
     host: str
@@ -34,19 +37,19 @@
     link_port: int
 
     def as_member(self):
-        """Return a member that a link can be made to."""
+        """Return a member record that is complete enough to open a link."""
         return Member(
             self.name, 0, self.host, self.link_port, self.gossip_port, 0, "", ""
         )
 
 
 def rendezvous_weight(name, purpose):
-    """Return a member's weight for a purpose; the highest is picked."""
+    """Return the weight of a name in rendezvous hashing."""
     return hashlib.blake2b(f"{purpose}\n{name}".encode(), digest_size=8).digest()
 
 
 def pick_by_rendezvous(members, purpose, count):
-    """Return the members with the highest weights for a purpose."""
+    """Return the `count` members with the highest weights for a purpose."""
     ordered = sorted(
         members,
         key=lambda member: rendezvous_weight(member.name, purpose),
@@ -56,7 +59,7 @@
 
 
 def parse_seeds(value):
-    """Return the seeds of a row; what is malformed is left out."""
+    """Return the seeds in the value of a row, without malformed entries."""
     entries = value.get("seeds") if isinstance(value, dict) else None
     if not isinstance(entries, list):
         return []
@@ -64,7 +67,7 @@
 
 
 def is_seed(entry):
-    """Return whether a row's entry has the form of a seed."""
+    """Return whether an entry of a row is a well-formed seed."""
     if not isinstance(entry, list) or len(entry) != 4:
         return False
     return all(isinstance(text, str) and text for text in entry[:2]) and all(
@@ -73,13 +76,13 @@
 
 
 def row_age(value):
-    """Return the seconds since a row was written, by the time of day."""
+    """Return the seconds of wall time since a row was written."""
     written = value.get("written_at")
     return time.time() - (written if isinstance(written, int | float) else 0)
 
 
 class SeedRows:
-    """Reads all seed rows and keeps that of the own failure domain.
+    """Reads all seed rows and maintains that of the own failure domain.
 
     Parameters
     ----------
@@ -99,41 +102,42 @@
         self.conflicts = 0
 
     async def read(self):
-        """Return all seed rows, or None when the store fails."""
+        """Return all seed rows, or None when the store does not answer."""
         try:
             rows = await self.table.scan(PREFIX, limit=ROWS_MAX)
         except (PlatformError, TimeoutError) as error:
-            return self.failed(error)
+            return self.note_failure(error)
         self.outage.worked()
         return rows
 
-    def others(self, rows):
-        """Return the seeds of some rows but for this daemon."""
+    def other_seeds(self, rows):
+        """Return the seeds of some rows except this daemon."""
         local = self.members.local.name
         seeds = [seed for row in rows for seed in parse_seeds(row.value)]
         return [seed for seed in seeds if seed.name != local]
 
-    def is_due(self, rows):
-        """Return whether the own domain's row wants to be written."""
+    def needs_update(self, rows):
+        """Return whether the own domain's row should be written."""
         values = [row.value for row in rows if row.key == self.key]
-        return self.improved(values[0] if values else {}) is not None
+        return self.updated_value(values[0] if values else {}) is not None
 
-    def failed(self, error):
-        """Count a failure of the store."""
+    def note_failure(self, error):
+        """Count a failed access to the store."""
         self.errors += 1
         self.outage.failed(error)
 
-    async def keep(self):
-        """Bring the own domain's row up to date; return whether it is.
+    async def update_row(self):
+        """Update the own domain's row; return whether it is up to date.
 
-        The write names the revision that was read. Two daemons that write
-        at once would otherwise undo each other, and the loser, alone in
-        its view, would never be found by the next one to start.
+        The write is conditional on the revision that was read. Without the
+        condition, one of two daemons that write at once would overwrite the
+        other. The overwritten one knows no other member, and daemons that
+        start later would never find it.
         """
-        for _ in range(WRITE_TRIES):
+        for _ in range(WRITE_ATTEMPTS):
             try:
                 row = await self.table.get(self.key)
-                value = self.improved(row.value if row else {})
+                value = self.updated_value(row.value if row else {})
                 if value is None:
                     self.outage.worked()
                     return True
@@ -142,7 +146,7 @@
             except ConditionFailed:
                 self.conflicts += 1
             except (PlatformError, TimeoutError) as error:
-                self.failed(error)
+                self.note_failure(error)
                 return False
             else:
                 self.writes += 1
@@ -150,58 +154,58 @@
                 return True
         return False
 
-    def improved(self, value):
-        """Return the row's next content, or None when it is good enough."""
+    def updated_value(self, value):
+        """Return the new value of the row, or None if it need not change."""
         seeds = parse_seeds(value)
-        if self.is_enough_to_join(value, seeds):
+        if self.has_starting_seeds(value, seeds):
             return None
-        wanted = self.wanted()
-        kept = [seed for seed in seeds if seed in wanted]
-        enough = len(kept) >= min(SEEDS_MIN, len(wanted))
-        if enough and not (self.is_writer() and self.is_old(value, seeds, wanted)):
+        live = self.live_seeds()
+        kept = [seed for seed in seeds if seed in live]
+        enough = len(kept) >= min(SEEDS_MIN, len(live))
+        if enough and not (self.is_writer() and self.is_outdated(value, seeds, live)):
             return None
-        fresh = [seed for seed in wanted if seed not in kept]
-        chosen = (kept + fresh + self.strangers(seeds))[:SEEDS_PER_DOMAIN]
+        added = [seed for seed in live if seed not in kept]
+        chosen = (kept + added + self.unknown_seeds(seeds))[:SEEDS_PER_DOMAIN]
         entries = [
             [seed.name, seed.host, seed.gossip_port, seed.link_port] for seed in chosen
         ]
         return {"seeds": entries, "written_at": int(time.time())}
 
-    def is_enough_to_join(self, value, seeds):
-        """Return whether one who knows nobody had better leave a row alone.
+    def has_starting_seeds(self, value, seeds):
+        """Return whether a daemon without peers need not write the row.
 
-        When a whole domain starts at once, all of its daemons are alone for a
-        moment. Each would write itself down, and most of these writes meet
-        each other: six calls of the store for each daemon. The few seeds that
-        were just written are starting too, and will be met at the next try.
+        When a whole domain starts at once, none of its daemons knows another
+        one at first. If each added itself, most of the writes would conflict,
+        at a cost of six store calls per daemon. The few seeds that were just
+        written are starting as well, and are reached at the next attempt.
         """
         alone = self.members.live_count() == 1
         fresh = abs(row_age(value)) <= FRESH_SECONDS
-        return alone and fresh and len(self.strangers(seeds)) >= SEEDS_MIN
+        return alone and fresh and len(self.unknown_seeds(seeds)) >= SEEDS_MIN
 
-    def strangers(self, seeds):
-        """Return the seeds to keep although nothing is known of them.
+    def unknown_seeds(self, seeds):
+        """Return the seeds to keep although they are not known as members.
 
-        A daemon that could reach no seed may be the one that is cut off;
-        writing the others out of the row would hide them from the next.
+        A daemon that reached no seed may itself be cut off. If it removed
+        the others from the row, daemons that start later could not find them.
         """
         if self.members.live_count() > 1:
             return []
         return [seed for seed in seeds if seed.name not in self.members.members]
 
-    def is_old(self, value, seeds, wanted):
-        """Return whether a row is due to be written again."""
+    def is_outdated(self, value, seeds, live):
+        """Return whether a row has to be written again because of its age."""
         age = row_age(value)
-        # A time far ahead was written by a clock that was set back since, or
-        # by somebody else; the row would never grow old.
+        # A time far in the future comes from a clock that has been set back
+        # since, or from another program. Such a row would never expire.
         if abs(age) > RENEW_SECONDS or age != age:
             return True
-        gone = any(seed not in wanted for seed in seeds)
-        short = len(seeds) < min(SEEDS_PER_DOMAIN, len(wanted))
+        gone = any(seed not in live for seed in seeds)
+        short = len(seeds) < min(SEEDS_PER_DOMAIN, len(live))
         return age > REFRESH_SECONDS and (gone or short)
 
-    def neighbours(self):
-        """Return the members of the own domain that are there to stay."""
+    def domain_members(self):
+        """Return the live members of the own domain that are not leaving."""
         return [
             member
             for member in self.members.live()
@@ -210,14 +214,14 @@
         ]
 
     def is_writer(self):
-        """Return whether the row's upkeep falls to this daemon."""
-        writers = pick_by_rendezvous(self.neighbours(), self.key, 1)
+        """Return whether this daemon maintains the row of its domain."""
+        writers = pick_by_rendezvous(self.domain_members(), self.key, 1)
         return writers == [self.members.local]
 
-    def wanted(self):
-        """Return live members of the own domain as seeds, this one first."""
+    def live_seeds(self):
+        """Return the members of the own domain as seeds, this daemon first."""
         local = self.members.local
-        others = [member for member in self.neighbours() if member is not local]
+        others = [member for member in self.domain_members() if member is not local]
         own = [] if local.state >= MemberState.LEAVING else [local]
         return [
             Seed(member.name, member.host, member.gossip_port, member.link_port)
--- a/tests/unit/daemon/test_membership_joining.py
+++ b/tests/unit/daemon/test_membership_joining.py
@@ -107,7 +107,7 @@
         slow = {"gossip_period_ms": 600_000}
         with (
             mock.patch.object(Detector, "start_period"),
-            mock.patch.object(Joining, "tend_seeds"),
+            mock.patch.object(Joining, "maintain_seeds"),
         ):
             again = [
                 await self.start(name, gossip_port=ports[name], **slow)
@@ -186,7 +186,7 @@
         ]
         for port, node in enumerate(nodes, start=1):
             node.table.change_local(gossip_port=port, link_port=port)
-        await asyncio.gather(*(node.seeds.keep() for node in nodes))
+        await asyncio.gather(*(node.seeds.update_row() for node in nodes))
         names = [entry[0] for entry in self.table.rows[PREFIX + "d1"].value["seeds"]]
         self.assertEqual(sorted(names), ["a", "b"])
         self.assertEqual(sum(node.seeds.conflicts for node in nodes), 1)
@@ -223,7 +223,7 @@
         joining = node.joining
         with (
             mock.patch.object(joining, "join", side_effect=tries),
-            mock.patch.object(joining, "tend_seeds", side_effect=EndOfTest),
+            mock.patch.object(joining, "maintain_seeds", side_effect=EndOfTest),
             mock.patch("asyncio.sleep") as sleep,
             self.assertRaises(EndOfTest),
         ):
