--- a/tests/unit/daemon/test_membership_exchange.py
+++ b/tests/unit/daemon/test_membership_exchange.py
@@ -4,13 +4,13 @@
 from papayabay_daemon._internal.interfaces import Member, MemberState
 from papayabay_daemon._internal.membership import Membership
 from papayabay_daemon._internal.membership.exchange import (
-    ASK_GROUPS,
-    ASK_RECORDS,
+    DIGESTS_REQUEST,
     GROUP,
     GROUP_BUCKETS,
     GROUPS,
     PAGE_BYTES,
     PAIR,
+    RECORDS_REQUEST,
 )
 from papayabay_daemon._internal.membership.packets import (
     Update,
@@ -55,8 +55,8 @@
         )
         middle = bytes((0, 7)) + encode_full(x)
         last = BUCKETS.to_bytes(2, "big") + encode_full(y)
-        self.assertEqual(b.exchange.take_page(middle, 0), 7)
-        self.assertEqual(b.exchange.take_page(last, 7), BUCKETS)
+        self.assertEqual(b.exchange.apply_page(middle, 0), 7)
+        self.assertEqual(b.exchange.apply_page(last, 7), BUCKETS)
         self.assertEqual(len(b.live()), 3)
         self.assertEqual(len(b.gossip.updates), 0)
 
@@ -83,7 +83,7 @@
         b = Membership(
             make_settings("b"), self.table, self.network.links("b"), seeded("b")
         )
-        digests = [digest ^ 1 for digest in b.exchange.digests_of(0)]
+        digests = [digest ^ 1 for digest in b.exchange.bucket_digests(0)]
         group = GROUP.pack(0, *digests)
         for answers in (
             [b"\x00"],
@@ -105,10 +105,10 @@
             make_settings("b"), self.table, self.network.links("b"), seeded("b")
         )
         for question in (
-            bytes((ASK_GROUPS, 0)),
-            bytes((ASK_RECORDS, 0)),
-            bytes((ASK_RECORDS,)) + PAIR.pack(BUCKETS, 0),
-            bytes((ASK_RECORDS,)) + PAIR.pack(0, 2) + bytes(4),
+            bytes((DIGESTS_REQUEST, 0)),
+            bytes((RECORDS_REQUEST, 0)),
+            bytes((RECORDS_REQUEST,)) + PAIR.pack(BUCKETS, 0),
+            bytes((RECORDS_REQUEST,)) + PAIR.pack(0, 2) + bytes(4),
         ):
             with self.subTest(question), self.assertRaises(ProtocolError):
                 await b.exchange.answer(question, "a")
