--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
@@ -1,4 +1,4 @@
-"""Who is there: gossip, seeds and exchanges put together."""
+"""The membership service: gossip, failure detection, seeds and exchanges."""
 
 import asyncio
 import ipaddress
@@ -24,15 +24,18 @@
 from papayabay_daemon._internal.membership.table import MemberTable
 
 LEAVE_SECONDS = 0.5
+"""Longest time that a daemon spends on announcing that it leaves."""
 UNMET_RECENT_SECONDS = 2.0
+"""Time after the start in which unmet seeds count as just lost."""
 UNMET_SECONDS = 60.0
-"""How long after the start seeds that were never met count as members."""
+"""Time after the start in which unmet seeds count as lost members."""
 LEAVE_PEERS = 8
+"""Members that a leaving daemon probes to announce it."""
 ANNOUNCE_FAN_OUT = 16
 """Members that an announcement is sent to directly: all of a small fleet.
 Gossip alone takes some periods, in which a new target is idle."""
 VERSION_FAN_OUT = 64
-"""Members that a reader sends a new version to directly: all of a failure
+"""Members that a reader sends a new version to directly: a whole failure
 domain of some tens. Others receive it by pushes and gossip."""
 log = logbook.Logger("papayabay.membership")
 
@@ -47,7 +50,8 @@
     links : Links
     random : random.Random
     clock : callable
-        Seconds, counting suspended time.
+        Returns the time in seconds, including the time that the machine was
+        suspended.
 
     Raises
     ------
@@ -104,10 +108,10 @@
         return self.table.upstreams(service)
 
     def known_upstream_count(self, service):
-        """Return how many members announce a service, or did until lately.
+        """Return how many known members announce a service.
 
-        The dead count too: a daemon that is merely cut off goes on spending
-        its part of what all share.
+        Dead members count until they are forgotten: a daemon that is merely
+        cut off still uses its share of a budget that all daemons share.
         """
         members = self.table.members.values()
         return sum(member.service == service for member in members)
@@ -116,30 +120,30 @@
         """Return all members that are not dead, this daemon too."""
         return self.table.live()
 
-    def lost_since(self, at):
-        """Return the members that were lost after a time and are not back.
+    def lost_since(self, time):
+        """Return the members that died after a time and have not returned.
 
-        Seeds that a new process has not met yet count as lost just now.
+        Shortly after the start of this process, unmet seeds count as lost.
         """
         tombstones = reversed(self.table.tombstones.items())
-        recent = itertools.takewhile(lambda item: item[1] > at, tombstones)
+        recent = itertools.takewhile(lambda item: item[1] > time, tombstones)
         dead = [self.table.members[name] for name, _ in recent]
         just_started = self.clock() - self.started_at <= UNMET_RECENT_SECONDS
         return [*dead, *self.unmet_seeds()] if just_started else dead
 
     def lost_count(self):
-        """Return how many members are dead and remembered, or never met."""
+        """Return the number of remembered dead members and unmet seeds."""
         return len(self.table.tombstones) + len(self.unmet_seeds())
 
     def listed_seed_count(self):
-        """Return how many seeds the store listed at the last try to join."""
+        """Return the number of seeds in the store at the last join attempt."""
         return len(self.joining.listed_seeds)
 
     def unmet_seeds(self):
-        """Return the seeds that a new process has not met.
+        """Return the listed seeds that this new process has no record of.
 
-        They may be on the other side of a partition. Later on, those listed
-        are more likely to be gone for good.
+        They may be on the other side of a partition. Some time after the
+        start, they are more likely to have ended for good.
         """
         if self.clock() - self.started_at > UNMET_SECONDS:
             return []
@@ -148,15 +152,18 @@
         return [seed.as_member() for seed in listed if seed.name not in known]
 
     def on_change(self, callback):
-        """Call back with each member whose record changed."""
+        """Register a callback for each member whose record changes."""
         self.listeners.append(callback)
 
     def on_newer_configuration(self, callback):
-        """Call back with a version above the own and who has it."""
+        """Register a callback for newer configuration versions of members.
+
+        It gets the version and the name of the member that has it.
+        """
         self.receiver.version_listeners.append(callback)
 
     def seconds_since_packet(self):
-        """Return the seconds since a packet of another member arrived."""
+        """Return the seconds since the last packet of another member."""
         return self.clock() - self.receiver.received_at
 
     def set_configuration(self, version):
@@ -164,7 +171,7 @@
         self.gossip.configuration = version
 
     def announce_version(self, peers):
-        """Send some members the configuration version at once.
+        """Send the configuration version to some members at once.
 
         Parameters
         ----------
@@ -175,18 +182,18 @@
             self.detector.ping(peer, self.detector.next_sequence())
 
     def set_ports(self, link_port, status_port):
-        """Set the ports that were bound; to be called before `run`."""
+        """Set the ports that were bound; must be called before `run`."""
         self.table.change_local(link_port=link_port, status_port=status_port)
 
     async def start(self):
-        """Bind the gossip port."""
+        """Bind the gossip port and queue the own record."""
         vm = self.settings.vm
         port = await self.gossip.open(vm.host, vm.gossip_port)
         self.table.change_local(gossip_port=port)
         self.gossip.updates.add(self.local.name)
 
     async def run(self):
-        """Take part until cancelled."""
+        """Take part in the cluster until cancelled."""
         if self.gossip.transport is None:
             await self.start()
         try:
@@ -198,7 +205,7 @@
             self.gossip.close()
 
     def announce(self, service, slots):
-        """Announce that the target beside this daemon takes calls."""
+        """Announce that the target beside this daemon accepts calls."""
         if (service, slots) != (self.local.service, self.local.slots):
             self.change_local(service=service, slots=slots)
             self.announce_record()
@@ -210,13 +217,22 @@
             self.announce_record()
 
     def announce_record(self):
-        """Send the own record to several members at once."""
+        """Send the own record directly to several random members."""
         record = encode_full(self.local)
         for peer in random_peers(self.table, ANNOUNCE_FAN_OUT, self.random):
             self.detector.ping(peer, self.detector.next_sequence(), record)
 
     def change_local(self, received=0, **fields):
-        """Change the own record under an incarnation above all former."""
+        """Change the own record under a new, higher incarnation.
+
+        Parameters
+        ----------
+        received : int
+            Incarnation of this name that a peer sent, if any; the new one is
+            higher.
+        **fields
+            New values by field name.
+        """
         incarnation = incarnation_above(self.local.incarnation, received)
         self.table.change_local(incarnation=incarnation, **fields)
         self.gossip.updates.add(self.local.name)
@@ -225,8 +241,8 @@
     async def leave(self):
         """Announce to several members that this daemon leaves.
 
-        Returns after `LEAVE_SECONDS` at the latest; others learn it from
-        refusals or by gossip.
+        Returns after `LEAVE_SECONDS` at the latest; other members learn it
+        from refused calls or by gossip.
         """
         self.change_local(state=MemberState.LEAVING)
         peers = random_peers(self.table, LEAVE_PEERS, self.random)
@@ -240,25 +256,25 @@
             pass
 
     def note_link_lost(self, name):
-        """Probe a member now, since its link broke."""
+        """Probe a member out of turn, since its link broke."""
         self.detector.probe_soon(name)
 
     def mark_leaving(self, name):
-        """Apply a member's own announcement that it leaves."""
+        """Mark a member as leaving, as it has announced itself."""
         member = self.table.get(name)
         if member is not None and member is not self.local:
             self.apply(Update(name, member.incarnation, MemberState.LEAVING))
 
     def apply(self, update, gossip=True):
-        """Apply an update of any member; gossip it on or not."""
+        """Apply an update of any member, and gossip it on if that is set."""
         if update.name == self.local.name:
             self.refute(update)
             return
-        strange = update.name not in self.table.members
+        is_new = update.name not in self.table.members
         member = self.table.apply(update, self.clock())
         if member is None:
             return
-        if strange:
+        if is_new:
             self.detector.add_to_round(member.name)
         self.detector.suspicions.update(member)
         if gossip:
@@ -271,26 +287,27 @@
             listener(member)
 
     def refute(self, update):
-        """Refute a wrong update of this daemon by a higher incarnation.
+        """Refute an update about this daemon by a higher incarnation.
 
-        It may be a suspicion from a pause of this process, or a record of an
-        earlier process of this name.
+        The update may be a suspicion after a pause of this process, or a
+        record of an earlier process of the same name.
         """
         own = (self.local.incarnation, self.local.state)
         if (update.incarnation, update.state) <= own:
             return
         self.refutations += 1
-        if self.is_another(update):
+        if self.is_name_conflict(update):
             self.name_conflicts += 1
             if self.name_conflicts == 1:
                 log.error(
-                    "name {} is in use elsewhere, or the clock went back",
+                    "vm.name {} is in use by another daemon, or the clock was "
+                    "set back; announcing a higher incarnation",
                     self.local.name,
                 )
         self.change_local(received=update.incarnation)
 
-    def is_another(self, update):
-        """Return whether a living daemon elsewhere uses the own name."""
+    def is_name_conflict(self, update):
+        """Return whether the name is used by a live daemon elsewhere."""
         member = update.member
         if member is None or update.state is not MemberState.ALIVE:
             return False
@@ -298,11 +315,11 @@
         return own != (member.host, member.gossip_port)
 
     def handle_packet(self, packet, address):
-        """Take in a packet and answer it."""
+        """Process a packet and answer it."""
         self.receiver.handle_packet(packet, address)
 
     def status(self):
-        """Return counters and the state of membership as plain values."""
+        """Return the state and the counters of membership as plain values."""
         gossip = self.gossip
         return {
             "name": self.local.name,
@@ -333,10 +350,10 @@
 
 
 def check_host(host):
-    """Refuse a host name: resolving one would hold up every packet."""
+    """Reject a host name, since resolving it would delay every packet."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
         raise SettingsError(
-            f"vm.host: {host!r} is not an IP address; members are reached by address"
+            f"vm.host: {host!r} is not an IP address; host names are not allowed"
         ) from None
