--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration in force and its spread between daemons."""
+"""The configuration in force and its propagation between daemons."""
 
 from papayabay_daemon._internal.configuration.manager import ConfigurationManager
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/answering.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/answering.py
@@ -1,4 +1,4 @@
-"""Answers to peers about the held version."""
+"""Answers requests of peers for configuration versions."""
 
 from papayabay_core.configuration import encode_configuration, encode_patches
 from papayabay_daemon._internal.configuration.messages import (
@@ -6,21 +6,21 @@
     OFFER_TOPIC,
     TAIL,
     TAIL_TOPIC,
+    decode_offer,
     decode_version,
     encode_chunk,
-    take_offer,
 )
 
 
 class Answering:
-    """Answers offers and questions for tails and whole versions.
+    """Answers offers, and requests for patches and full versions.
 
     Parameters
     ----------
     state : ConfigurationState
     links : Links
     note_offer : callable
-        Takes a version above the held one and who holds it.
+        Called with a version above the own one and the peer that has it.
     """
 
     def __init__(self, state, links, note_offer):
@@ -32,8 +32,8 @@
         links.handle_requests(FULL_TOPIC, self.answer_full)
 
     async def answer_offer(self, payload, peer):
-        """Note a peer's offer and answer with the own."""
-        offer, _ = take_offer(payload)
+        """Process a peer's offer and answer with the own offer."""
+        offer, _ = decode_offer(payload)
         if offer.version > self.state.version.latest.version:
             self.note_offer(offer.version, peer)
         else:
@@ -41,27 +41,31 @@
         return self.state.own_offer().encode()
 
     async def answer_tail(self, payload, peer):
-        """Answer with the patches after a version, or with everything."""
+        """Answer with the patches after a version.
+
+        When some of them are gone from the history, the answer is the first
+        chunk of the full version.
+        """
         after = decode_version(payload)
         head = self.state.own_offer().encode()
         if after >= self.state.version.latest.version:
             return head
         patches = self.state.version.history.after(after)
         if patches is None:
-            return head + encode_chunk(self.encoded_whole(), 0)
+            return head + encode_chunk(self.encoded_version(), 0)
         return head + TAIL + encode_patches(patches)
 
     async def answer_full(self, payload, peer):
-        """Answer with a part of the whole held version."""
+        """Answer with one chunk of the full latest version."""
         offset = decode_version(payload)
         head = self.state.own_offer().encode()
         if not self.state.version.latest.version:
             return head
-        return head + encode_chunk(self.encoded_whole(), offset)
+        return head + encode_chunk(self.encoded_version(), offset)
 
-    def encoded_whole(self):
-        """Return the held version as bytes, made once per version."""
-        held = self.state.version.latest
-        if self.encoded is None or self.encoded[0] != held.version:
-            self.encoded = (held.version, encode_configuration(held))
+    def encoded_version(self):
+        """Return the full latest version as bytes, encoded once."""
+        latest = self.state.version.latest
+        if self.encoded is None or self.encoded[0] != latest.version:
+            self.encoded = (latest.version, encode_configuration(latest))
         return self.encoded[1]
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
@@ -14,8 +14,8 @@
     TAIL,
     TAIL_TOPIC,
     decode_chunk,
+    decode_offer,
     encode_version,
-    take_offer,
 )
 from papayabay_daemon._internal.membership.sampling import random_peers
 
@@ -126,7 +126,7 @@
 
     async def take_answer(self, peer, answer, asked_at):
         """Take the patches or the whole version that a peer sent."""
-        offer, body = take_offer(answer)
+        offer, body = decode_offer(answer)
         if body[:1] == TAIL:
             self.state.apply_patches(decode_patches(body[1:]))
         elif body:
@@ -144,7 +144,7 @@
         while len(content) < total:
             request = encode_version(len(content))
             answer = await self.links.request(peer, FULL_TOPIC, request, PEER_SECONDS)
-            offer, body = take_offer(answer)
+            offer, body = decode_offer(answer)
             same_total, part = decode_chunk(body, len(content))
             if (offer.version, same_total) != (version, total):
                 raise ProtocolError("the peer went on to another version")
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
@@ -7,7 +7,7 @@
 from papayabay_daemon._internal.configuration.messages import (
     OFFER_TOPIC,
     PEER_SECONDS,
-    take_offer,
+    decode_offer,
 )
 from papayabay_daemon._internal.membership.sampling import random_peers
 
@@ -77,7 +77,7 @@
         payload = self.state.own_offer().encode()
         try:
             answer = await self.links.request(peer, OFFER_TOPIC, payload, PEER_SECONDS)
-            offer, _ = take_offer(answer)
+            offer, _ = decode_offer(answer)
         except (ProtocolError, OSError, TimeoutError):
             self.state.counts["push_errors"] += 1
             return None
--- a/tests/unit/daemon/test_spread_versions.py
+++ b/tests/unit/daemon/test_spread_versions.py
@@ -4,7 +4,7 @@
 from papayabay_core.configuration import Configuration, new_patch
 from papayabay_core.exceptions import ProtocolError
 from papayabay_daemon._internal.configuration.history import PATCHES_MAX, History
-from papayabay_daemon._internal.configuration.messages import Offer, take_offer
+from papayabay_daemon._internal.configuration.messages import Offer, decode_offer
 from papayabay_daemon._internal.configuration.version import VersionInForce
 
 
@@ -58,6 +58,6 @@
 
     def test_offers_survive_and_short_ones_are_refused(self):
         for offer in (Offer(7, None), Offer(2**63, 1.5)):
-            self.assertEqual(take_offer(offer.encode() + b"x"), (offer, b"x"))
+            self.assertEqual(decode_offer(offer.encode() + b"x"), (offer, b"x"))
         for size in range(12):
-            self.assertRaises(ProtocolError, take_offer, bytes(size))
+            self.assertRaises(ProtocolError, decode_offer, bytes(size))
