--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/confirming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/confirming.py
@@ -1,34 +1,39 @@
-"""Keeps the confirmation recent that the held version is the newest."""
+"""Renews the confirmation that the latest version known here is the newest."""
 
 import asyncio
 
 from papayabay_daemon._internal.membership.detector import wait_event
 
 READER_SHARE = 0.25
-"""Part of the bound after which a reader has the store confirm the version."""
+"""Share of the maximum staleness after which the first reader of the fleet
+has the store confirm the version."""
 PEER_SHARE = 0.45
-"""Part after which any other daemon in use asks a reader."""
+"""Share after which a daemon that is no reader asks one."""
 STORE_SHARE = 0.6
-"""Part after which it asks the store itself."""
-TURN_SHARE = 0.05
-"""Part by which each reader of the fleet waits longer than the one before it;
-the first one's answer reaches the others with the answers to their calls."""
+"""Share after which a daemon that is no reader asks the store itself."""
+READER_STEP_SHARE = 0.05
+"""Share by which each reader of the fleet waits longer than the one before it,
+since the first one's answer reaches the others with the answers to their
+calls."""
 PEER_SECONDS = 0.3
 """How long a peer has to answer before the store is asked."""
 MAX_READER_SHARE = 0.4
+"""Share after which every reader renews its confirmation."""
 JITTER_SHARE = 0.1
-"""Part over which all other daemons spread."""
+"""Share over which the renewals of all other daemons are spread."""
 SAFETY_SECONDS = 0.1
-"""How long before the bound a confirmation is no longer relied on."""
+"""How long before the maximum staleness a confirmation counts as expired."""
 REFRESH_SECONDS = 0.25
-"""How long a request waits for a confirmation at most."""
+"""Longest time that a request waits for a new confirmation."""
 RECHECK_SECONDS = 1.0
+"""Longest time between two checks whether a renewal is due."""
 FIRST_PAUSE_SECONDS = 0.25
 MAX_PAUSE_SECONDS = 2.0
+"""Backoff after failed renewals."""
 
 
 class Confirmer:
-    """Renews confirmations while policy bounds their age.
+    """Renews confirmations while the policy sets a maximum staleness.
 
     Parameters
     ----------
@@ -37,7 +42,7 @@
     pusher : Pusher
     readers : Readers
     offers : dict of str to int
-        Versions above the held one, by the peer that holds them.
+        Versions above the own one, by the name of the peer that has them.
     random : random.Random
     """
 
@@ -48,40 +53,43 @@
         self.pusher = pusher
         self.readers = readers
         self.random = random
-        self.wanted = asyncio.Event()
+        self.requested = asyncio.Event()
         self.used_at = float("-inf")
         self.pause = FIRST_PAUSE_SECONDS
 
     @property
-    def bound(self):
-        """Seconds that a confirmation holds; None without a bound."""
-        bound_ms = self.state.version.policy.authentication.max_staleness_ms
-        return None if bound_ms is None else bound_ms / 1_000
+    def max_staleness(self):
+        """Seconds for which a confirmation is valid; None without a limit."""
+        limit_ms = self.state.version.policy.authentication.max_staleness_ms
+        return None if limit_ms is None else limit_ms / 1_000
 
     def is_fresh(self):
-        """Return whether the accounts known here may be relied on."""
-        bound = self.bound
-        return bound is None or self.state.staleness() <= bound - SAFETY_SECONDS
+        """Return whether the accounts known here are recent enough to use."""
+        limit = self.max_staleness
+        return limit is None or self.state.staleness() <= limit - SAFETY_SECONDS
 
     def is_behind(self):
-        """Return whether a peer is known to hold a newer version."""
+        """Return whether a peer is known to have a newer version."""
         return bool(self.offers)
 
     async def ensure_fresh(self):
-        """Return whether they may be, after a short wait if that helps."""
+        """Return whether the accounts known here are recent enough to use.
+
+        If they are not, wait up to `REFRESH_SECONDS` for a new confirmation.
+        """
         self.used_at = self.state.clock()
         if self.is_fresh():
             return True
-        self.wanted.set()
+        self.requested.set()
         self.state.reconfirmed.clear()
         await wait_event(self.state.reconfirmed, REFRESH_SECONDS)
         return self.is_fresh()
 
     async def run(self):
-        """Renew until cancelled."""
+        """Renew the confirmation whenever it is due, until cancelled."""
         while True:
-            self.wanted.clear()
-            await wait_event(self.wanted, self.seconds_left())
+            self.requested.clear()
+            await wait_event(self.requested, self.seconds_until_due())
             if not self.is_due():
                 continue
             if await self.renew():
@@ -90,57 +98,58 @@
             await asyncio.sleep(self.pause * self.random.uniform(0.5, 1.0))
             self.pause = min(MAX_PAUSE_SECONDS, self.pause * 2)
 
-    def seconds_left(self):
-        """Return how long the confirmation needs no renewal."""
-        bound = self.bound
-        if bound is None or not self.is_needed():
+    def seconds_until_due(self):
+        """Return the seconds until the next renewal or check."""
+        limit = self.max_staleness
+        if limit is None or not self.is_in_use():
             return RECHECK_SECONDS
-        share = self.due_share()
+        share = self.renewal_share()
         if not self.readers.must_read():
             share += self.random.uniform(0.0, JITTER_SHARE)
-        return min(max(0.0, bound * share - self.state.staleness()), RECHECK_SECONDS)
+        return min(max(0.0, limit * share - self.state.staleness()), RECHECK_SECONDS)
 
-    def due_share(self):
-        """Return the part of the bound after which this daemon asks."""
+    def renewal_share(self):
+        """Return the share of the maximum staleness after which to renew."""
         if not self.readers.must_read():
             return PEER_SHARE
-        share = READER_SHARE + self.readers.turn() * TURN_SHARE
+        share = READER_SHARE + self.readers.fleet_index() * READER_STEP_SHARE
         return min(share, MAX_READER_SHARE)
 
     def is_due(self):
         """Return whether the confirmation has to be renewed."""
-        if self.bound is None or not self.is_needed():
+        if self.max_staleness is None or not self.is_in_use():
             return False
-        return self.state.staleness() >= self.bound * self.due_share()
+        return self.state.staleness() >= self.max_staleness * self.renewal_share()
 
-    def is_needed(self):
-        """Return whether the confirmation is used, here or by others."""
-        in_use = self.state.clock() - self.used_at < self.bound
-        return in_use or self.readers.include_local()
+    def is_in_use(self):
+        """Return whether this daemon or others rely on the confirmation."""
+        used_here = self.state.clock() - self.used_at < self.max_staleness
+        return used_here or self.readers.is_reader()
 
     async def renew(self):
-        """Ask a peer, else the store; return whether that was enough.
+        """Ask a peer, or else the store; return whether that was enough.
 
-        The fleet's first reader asks the store, the other readers the first
-        one, and all others a reader of their own failure domain.
+        The first reader of the fleet asks the store, the other readers ask
+        the first one, and all other daemons ask a reader of their own failure
+        domain.
         """
-        peer = self.peer_to_ask()
+        peer = self.choose_peer()
         if peer is not None:
-            await self.pusher.ask_confirmation(peer, PEER_SECONDS)
+            await self.pusher.request_confirmation(peer, PEER_SECONDS)
         if peer is None or self.is_store_due():
             await self.store.confirm()
         return not self.is_due()
 
-    def peer_to_ask(self):
-        """Return the member that may have a newer confirmation, or None."""
-        if self.readers.include_local():
+    def choose_peer(self):
+        """Return the reader to ask for a newer confirmation, or None."""
+        if self.readers.is_reader():
             return self.readers.first_of_fleet()
-        others = self.readers.others()
+        others = self.readers.other_readers()
         return self.random.choice(others) if others else None
 
     def is_store_due(self):
-        """Return whether what the peer knew leaves the store to be asked."""
+        """Return whether the store has to be asked after a peer was."""
         share = STORE_SHARE
         if self.readers.must_read():
-            share = self.due_share()
-        return self.state.staleness() >= self.bound * share
+            share = self.renewal_share()
+        return self.state.staleness() >= self.max_staleness * share
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
@@ -120,7 +120,7 @@
             "confirmed": self.confirmed,
             "applied_at": self.applied_at,
             "not_in_force": self.version.refused,
-            "reader": self.readers.include_local(),
+            "reader": self.readers.is_reader(),
             "store_reachable": self.store_reachable,
             **self.counts,
         }
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
@@ -94,11 +94,11 @@
 
     async def ask_reader(self):
         """Ask one reader how recently the store vouched for its version."""
-        readers = self.readers.others()
+        readers = self.readers.other_readers()
         if readers:
             await self.exchange_offers(self.random.choice(readers))
 
-    async def ask_confirmation(self, peer, timeout):
+    async def request_confirmation(self, peer, timeout):
         """Ask a peer the same, and wait no longer than some seconds."""
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
@@ -52,7 +52,7 @@
         """Poll the head while this daemon is a reader of its domain."""
         while True:
             await asyncio.sleep(self.poll * self.random.uniform(0.9, 1.1))
-            if self.readers.include_local():
+            if self.readers.is_reader():
                 await self.read()
 
     async def read(self):
--- a/tests/unit/daemon/test_confirmations.py
+++ b/tests/unit/daemon/test_confirmations.py
@@ -33,25 +33,25 @@
 class SetReaders:
     """`Readers` that tests set."""
 
-    def __init__(self, reads=False, turn=0, first=None, others=()):
+    def __init__(self, reads=False, index=0, first=None, others=()):
         self.reads = reads
-        self.own_turn = turn
+        self.index = index
         self.first = first
-        self.other_readers = list(others)
+        self.others = list(others)
 
     def first_of_fleet(self):
         return self.first
 
-    def others(self):
-        return self.other_readers
+    def other_readers(self):
+        return self.others
 
-    def turn(self):
-        return self.own_turn
+    def fleet_index(self):
+        return self.index
 
     def must_read(self):
         return self.reads
 
-    def include_local(self):
+    def is_reader(self):
         return self.reads
 
     def followers(self):
@@ -200,7 +200,7 @@
         self.state = make_state(asyncio.get_running_loop().time)
         readers = SetReaders(
             name < DOMAINS * READERS,
-            turn=name,
+            index=name,
             first=0 if name else None,
             others=[name % DOMAINS],
         )
@@ -211,7 +211,7 @@
     async def confirm(self):
         return await self.fleet.store.confirm(self)
 
-    async def ask_confirmation(self, name, timeout):
+    async def request_confirmation(self, name, timeout):
         await self.fleet.ask(self, self.fleet.daemons[name])
 
     async def serve(self):
