--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/state.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/state.py
@@ -1,4 +1,4 @@
-"""What this daemon holds, and how far the store has vouched for it."""
+"""The latest version of this daemon and its confirmation by the store."""
 
 import asyncio
 import math
@@ -10,9 +10,11 @@
 from papayabay_daemon._internal.configuration.version import VersionInForce
 
 FRESH_SECONDS = 10.0
+"""Age up to which a confirmation is passed between daemons."""
 RESTORED_STORE_SECONDS = 1.0
-"""How long a restored store confirms nothing. It may have lost its newest
-version; by then this daemon knows of it, if any peer does."""
+"""How long confirmations by a restored store are ignored. The store may have
+lost its newest version; after this time this daemon knows of that version, if
+any peer does."""
 COUNTS = (
     "store_reads",
     "store_errors",
@@ -27,13 +29,14 @@
 
 
 class ConfigurationState:
-    """What the parts of the keeper share.
+    """State that the parts of the configuration manager share.
 
     Parameters
     ----------
     members : Membership
     clock : callable
-        Seconds, counting suspended time.
+        Returns the time in seconds, including the time that the machine was
+        suspended.
 
     Attributes
     ----------
@@ -41,14 +44,17 @@
     confirmed : bool
         Whether the store has confirmed a version since the start.
     confirmed_at : float
-        Latest time before which the store is known to have accepted no
-        version that is newer than the held one.
+        Latest time up to which the store is known to have accepted no
+        version above the own one.
+    distrusted_until : float
+        Answers to earlier requests confirm nothing, as the store was restored
+        from an older copy.
     reconfirmed : asyncio.Event
-        Set with each confirmation.
+        Set by each confirmation.
     loaded : asyncio.Event
-        Set once the first load has ended.
+        Set once the first load has ended, successful or not.
     push_due : asyncio.Event
-        Set when there is a newer version to pass on.
+        Set when there is a newer version to push to peers.
     counts : dict of str to int
     """
 
@@ -65,70 +71,75 @@
         self.counts = dict.fromkeys(COUNTS, 0)
 
     def apply_full_version(self, configuration):
-        """Take a whole version if it is newer, and pass it on."""
+        """Apply a full version if it is newer, and propagate it."""
         if self.version.apply_full_version(configuration):
-            self.went_on()
+            self.propagate()
 
     def apply_patches(self, patches):
-        """Take patches that are in the store, such as one just committed.
+        """Apply patches that are in the store, such as one just committed.
 
         Returns
         -------
         int
-            The version now held; lower than the last patch's when patches
-            between are missing.
+            The latest version; lower than that of the last patch when
+            patches in between are missing.
         """
         if self.version.apply_patches(patches):
-            self.went_on()
+            self.propagate()
         return self.version.latest.version
 
-    def went_on(self):
-        """Let the others know of a newer version."""
+    def propagate(self):
+        """Announce a newer version by gossip and pushes."""
         self.members.set_configuration(self.version.latest.version)
         self.push_due.set()
 
     def confirm(self, asked_at):
-        """Note that the store holds no newer version than the held one.
+        """Record that the store has no version above the own one.
 
         Parameters
         ----------
         asked_at : float
-            When the store was asked. The answer may have been long on its
-            way, and says nothing of what was committed meanwhile.
+            When the store was asked. The answer may have been delayed, and
+            does not cover what was committed in the meantime.
         """
         if asked_at < self.distrusted_until:
             return
-        self.note_confirmed()
+        self.mark_confirmed()
         self.confirmed_at = max(asked_at, self.confirmed_at)
         self.reconfirmed.set()
 
-    def note_confirmed(self):
-        """Note that the store has confirmed a version, at whatever time."""
+    def mark_confirmed(self):
+        """Record that the store has confirmed a version since the start."""
         if not self.confirmed:
             self.confirmed = True
-            log.info("version {} is confirmed", self.version.latest.version)
+            log.info(
+                "configuration version {} is confirmed by the store",
+                self.version.latest.version,
+            )
 
     def staleness(self):
-        """Return the seconds since no newer version was known to be stored."""
+        """Return the seconds since the latest version was confirmed."""
         return self.clock() - self.confirmed_at
 
     def store_restored(self):
-        """Distrust the store for a while; it came back from an older copy."""
+        """Ignore the store for a while, as it was restored from a copy."""
         self.confirmed_at = float("-inf")
         self.distrusted_until = self.clock() + RESTORED_STORE_SECONDS
 
     def own_offer(self):
-        """Return what this daemon holds."""
+        """Return the latest version and its confirmation's age as an offer."""
         age = max(0.0, self.staleness())
         return Offer(self.version.latest.version, None if age == math.inf else age)
 
     def own_confirmation(self):
-        """Return the held version and its confirmation's age, or None.
+        """Return the latest version and the age of its confirmation.
 
         Returns
         -------
         (int, int) or None
-            The age in milliseconds. None while policy sets no bound to it.
+            Version, and age in milliseconds. None while the policy sets no
+            maximum staleness, or when the confirmation is too old to be
+            passed on.
         """
         if self.version.policy.authentication.max_staleness_ms is None:
             return None
@@ -138,35 +149,36 @@
         return self.version.latest.version, whole_ms(age)
 
     def peer_confirmed(self, version, age_ms, asked_at):
-        """Take over the confirmation that came with a peer's answer.
+        """Apply the confirmation that came with a peer's answer to a call.
 
         Parameters
         ----------
         version : int
         age_ms : int
-            When the peer answered, which was no sooner than it was asked.
+            Age of the confirmation when the peer answered, which was not
+            before it was asked.
         asked_at : float
         """
         if version <= self.version.latest.version:
             self.confirm(asked_at - age_ms / 1_000)
 
     def receive_confirmation(self, offer, asked_at=None):
-        """Take over a peer's confirmation if it is recent.
+        """Apply the confirmation in a peer's offer if it is recent.
 
-        One from before an outage says nothing of what was committed since.
-        The age is passed on with it, so it can't be kept fresh by being
-        passed around.
+        A confirmation from before a store outage does not cover what was
+        committed since. Its age is passed on with it, so that it does not
+        become fresh again by being passed between daemons.
 
         Parameters
         ----------
         offer : Offer
         asked_at : float or None
-            When the peer was asked for it; None for an offer that was sent
-            unasked, and may have been under way for any time.
+            When the peer was asked for the offer. None for an unsolicited
+            offer, which may have been delayed by any time.
         """
         recent = offer.age is not None and offer.age <= FRESH_SECONDS
         if not recent or offer.version != self.version.latest.version:
             return
-        self.note_confirmed()
+        self.mark_confirmed()
         if asked_at is not None:
             self.confirm(asked_at - offer.age)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
@@ -1,4 +1,4 @@
-"""Reads of the store by the readers of a failure domain."""
+"""Polls the configuration store for newer versions."""
 
 import asyncio
 
@@ -9,11 +9,13 @@
 from papayabay_daemon._internal.outage import Outage
 
 LOAD_TIMEOUTS = 5
+"""Time limit of a load or read, in multiples of the platform's timeout; each
+consists of several requests."""
 module_log = logbook.Logger("papayabay.configuration")
 
 
 class StoreReader:
-    """Loads the first version, then polls for newer ones.
+    """Loads the first version, then polls for newer ones on readers.
 
     Parameters
     ----------
@@ -25,7 +27,7 @@
     """
 
     def __init__(self, settings, state, log, readers, random):
-        self.poll = settings.timing.config_poll_ms / 1_000
+        self.poll_interval = settings.timing.config_poll_ms / 1_000
         self.timeout = settings.platform.timeout_ms / 1_000
         self.state = state
         self.log = log
@@ -34,7 +36,7 @@
         self.outage = Outage(module_log, "configuration store")
 
     async def load(self):
-        """Load what the store has, if it answers."""
+        """Load the newest version from the store, if it answers."""
         asked_at = self.state.clock()
         try:
             async with asyncio.timeout(self.timeout * LOAD_TIMEOUTS):
@@ -42,7 +44,7 @@
         except (UpgradeNeeded, CorruptRecord) as error:
             self.state.version.refuse(error)
         except (PlatformError, TimeoutError) as error:
-            self.failed(error)
+            self.note_failure(error)
         else:
             self.state.apply_full_version(configuration)
             if configuration.confirmed:
@@ -51,12 +53,12 @@
     async def run(self):
         """Poll the head while this daemon is a reader of its domain."""
         while True:
-            await asyncio.sleep(self.poll * self.random.uniform(0.9, 1.1))
+            await asyncio.sleep(self.poll_interval * self.random.uniform(0.9, 1.1))
             if self.readers.is_reader():
                 await self.read()
 
     async def read(self):
-        """Read the head, and what follows it; return whether that worked."""
+        """Read newer versions; return whether the store answered."""
         self.state.counts["store_reads"] += 1
         try:
             async with asyncio.timeout(self.timeout * LOAD_TIMEOUTS):
@@ -64,7 +66,7 @@
         except (UpgradeNeeded, CorruptRecord, StaleVersion) as error:
             self.state.version.refuse(error)
         except (PlatformError, TimeoutError) as error:
-            self.failed(error)
+            self.note_failure(error)
             return False
         else:
             self.outage.worked()
@@ -75,24 +77,24 @@
         return await self.read()
 
     async def read_head(self):
-        """Compare the head with the held version.
+        """Read the number of the newest version, and the patches up to it.
 
-        A read may be served from an old copy of the row. A head below the
-        held version is such a read: it is counted and changes nothing.
+        The store may serve a read from a stale copy of the row. A number
+        below the own version shows such a read, which is counted and ignored.
         """
         asked_at = self.state.clock()
         head = await self.log.head()
-        held = self.state.version.latest.version
-        if head < held:
+        latest = self.state.version.latest.version
+        if head < latest:
             self.state.counts["stale_reads"] += 1
             return
-        if head > held:
-            patches = await self.log.patches_after(held)
+        if head > latest:
+            patches = await self.log.patches_after(latest)
             self.state.apply_patches(patches)
         if self.state.version.latest.version >= head:
             self.state.confirm(asked_at)
 
-    def failed(self, error):
-        """Count a failure of the store."""
+    def note_failure(self, error):
+        """Count a failed access to the store."""
         self.state.counts["store_errors"] += 1
         self.outage.failed(error)
