--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
@@ -1,4 +1,4 @@
-"""Keeps this daemon at the newest version and passes versions on."""
+"""Keeps the configuration of this daemon up to date and propagates it."""
 
 import asyncio
 
@@ -13,20 +13,22 @@
 
 
 class ConfigurationManager:
-    """The configuration of this daemon, and its spread to others.
+    """The configuration of this daemon, and its propagation to others.
 
     Parameters
     ----------
     settings : DaemonSettings
     log : ConfigurationLog or VersionWatch
     members : Membership
-        Besides `Members`: `on_newer_configuration`, `set_configuration`.
+        Beyond the methods of `Members`, `on_newer_configuration` and
+        `set_configuration` are used.
     links : Links
     random : random.Random
     clock : callable
-        Seconds, counting suspended time.
+        Returns the time in seconds, including the time that the machine was
+        suspended.
     version_reader : type
-        What reads `log`: `StoreReader`, or `VersionWatcher` where it is a
+        Class that reads `log`: `StoreReader`, or `VersionWatcher` for a
         `VersionWatch`.
     """
 
@@ -74,52 +76,52 @@
 
     @property
     def applied_at(self):
-        """Wall time at which it came in force; 0 before any did."""
+        """Wall time at which the current version came in force, or 0."""
         return self.version.applied_at
 
     @property
     def confirmed(self):
-        """Whether the store has vouched for a version since the start."""
+        """Whether the store has confirmed a version since the start."""
         return self.state.confirmed
 
     @property
     def store_reachable(self):
-        """Whether the last read of the store went through."""
+        """Whether the last read of the store succeeded."""
         return not self.store.outage.lasts
 
     def on_change(self, callback):
-        """Call back with each policy that comes in force."""
+        """Register a callback for each policy that comes in force."""
         self.version.listeners.append(callback)
 
     def apply_patches(self, patches):
-        """Take patches that are in the store; see `ConfigurationState`."""
+        """Apply patches that are in the store; see `ConfigurationState`."""
         return self.state.apply_patches(patches)
 
     async def run(self):
-        """Load, then read, pull and push until cancelled."""
+        """Load a version, then read, pull and push until cancelled."""
         await self.load_first()
         self.loaded.set()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.store.run())
             group.create_task(self.puller.run())
             group.create_task(self.pusher.run())
-            group.create_task(self.pusher.run_confirming())
+            group.create_task(self.pusher.run_until_confirmed())
             group.create_task(self.confirmer.run())
 
     async def load_first(self):
-        """Load from the store; while it is down, from the newest peer."""
+        """Load from the store, or from peers while the store is down."""
         await self.store.load()
         if not self.confirmed:
             await self.puller.load_from_peers()
 
     def status(self):
-        """Return the version in force and counters as plain values."""
+        """Return the versions and the counters as plain values."""
         return {
             "version": self.version.current.version,
             "held_version": self.version.latest.version,
             "confirmed": self.confirmed,
             "applied_at": self.applied_at,
-            "not_in_force": self.version.refused,
+            "not_in_force": self.version.rejection,
             "reader": self.readers.is_reader(),
             "store_reachable": self.store_reachable,
             **self.counts,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pulling.py
@@ -1,4 +1,4 @@
-"""Pulls of newer versions from the members that offer them."""
+"""Pulls newer versions from the members that offer them."""
 
 import asyncio
 
@@ -21,12 +21,14 @@
 
 OFFERS_MAX = 64
 FIRST_PEERS = 5
+"""Peers from which a daemon loads when the store is down at its start."""
 RETRY_SECONDS = 0.25
 RETRY_MAX_SECONDS = 30.0
+"""Backoff after failed pulls."""
 
 
 class Puller:
-    """Remembers who offers what, and pulls the highest version.
+    """Collects the offers of members, and pulls the highest version.
 
     Parameters
     ----------
@@ -37,7 +39,7 @@
     Attributes
     ----------
     offers : dict of str to int
-        Versions above the held one, by member.
+        Versions above the own one, by the name of the member.
     """
 
     def __init__(self, state, links, random):
@@ -48,17 +50,17 @@
         self.offered = asyncio.Event()
 
     async def load_from_peers(self):
-        """Ask several peers for all they hold and keep the highest.
+        """Fetch the full versions of several peers; the highest one stays.
 
-        Not confirmed by that: the newest patch may be known to none of
-        those that were asked.
+        This does not confirm it as the newest version, since possibly none
+        of these peers has the newest patch.
         """
         peers = random_peers(self.state.members, FIRST_PEERS, self.random)
         start = encode_version(0)
         await asyncio.gather(*(self.fetch(peer, FULL_TOPIC, start) for peer in peers))
 
     def note_offer(self, version, name):
-        """Remember that a member holds a newer version."""
+        """Record that a member offers a newer version."""
         if version <= self.state.version.latest.version:
             self.state.counts["stale_offers"] += 1
             return
@@ -67,26 +69,29 @@
             self.offered.set()
 
     async def run(self):
-        """Pull from whoever offers the highest version.
+        """Pull from the member that offers the highest version.
 
-        Every packet of gossip offers a version. One that can't be read here
-        would be fetched several times a second for good; so each failure
-        in a row doubles the wait.
+        Every gossip packet offers a version. A version that can't be decoded
+        here would be fetched several times a second forever, so each further
+        failure doubles the backoff.
         """
-        wait = RETRY_SECONDS
+        backoff = RETRY_SECONDS
         while True:
             await self.offered.wait()
             peer = self.next_offer()
             if peer is None:
                 self.offered.clear()
             elif await self.pull(peer):
-                wait = RETRY_SECONDS
+                backoff = RETRY_SECONDS
             else:
-                await asyncio.sleep(wait * self.random.random())
-                wait = min(RETRY_MAX_SECONDS, wait * 2)
+                await asyncio.sleep(backoff * self.random.random())
+                backoff = min(RETRY_MAX_SECONDS, backoff * 2)
 
     def next_offer(self):
-        """Return the member that offers the highest version, if any."""
+        """Remove the highest offer and return its member, or None.
+
+        Offers of members that are gone and of older versions are dropped.
+        """
         while self.offers:
             name = max(self.offers, key=self.offers.get)
             version = self.offers.pop(name)
@@ -96,57 +101,72 @@
         return None
 
     async def pull(self, peer):
-        """Pull what a peer holds beyond the held version."""
+        """Pull the patches after the latest version from a peer."""
         self.state.counts["pulls"] += 1
         after = encode_version(self.state.version.latest.version)
         return await self.fetch(peer, TAIL_TOPIC, after)
 
     async def fetch(self, peer, topic, payload):
-        """Ask a peer and take its answer; return whether that worked.
-
-        An answer that brings nothing although the peer claims more is a
-        failure; it would otherwise be asked for again without a pause.
+        """Send a request to a peer and apply its answer.
+
+        Returns
+        -------
+        bool
+            Whether the request succeeded. An answer without any newer version
+            is a failure if the peer offers one, as it would otherwise be
+            requested again without a backoff.
         """
-        before = self.state.version.latest.version
+        previous = self.state.version.latest.version
         asked_at = self.state.clock()
         try:
             answer = await self.links.request(peer, topic, payload, PEER_SECONDS)
-            offer = await self.take_answer(peer, answer, asked_at)
+            offer = await self.apply_answer(peer, answer, asked_at)
         except UpgradeNeeded as error:
-            self.state.version.refuse(error)
+            self.state.version.reject(error)
         except (ProtocolError, PlatformError, OSError, TimeoutError) as error:
             self.state.counts["pull_errors"] += 1
             if isinstance(error.__context__, UpgradeNeeded):
-                self.state.version.refuse(error)
+                self.state.version.reject(error)
         else:
             if offer.version > self.state.version.latest.version:
                 self.note_offer(offer.version, peer.name)
-            return self.state.version.latest.version >= min(offer.version, before + 1)
+            return self.state.version.latest.version >= min(offer.version, previous + 1)
         return False
 
-    async def take_answer(self, peer, answer, asked_at):
-        """Take the patches or the whole version that a peer sent."""
+    async def apply_answer(self, peer, answer, asked_at):
+        """Apply the patches or the full version that a peer sent."""
         offer, body = decode_offer(answer)
         if body[:1] == TAIL:
             self.state.apply_patches(decode_patches(body[1:]))
         elif body:
-            content = await self.fetch_rest(peer, offer.version, body)
-            whole = decode_configuration(content, "a peer's version")
-            self.state.apply_full_version(whole)
+            content = await self.fetch_chunks(peer, offer.version, body)
+            configuration = decode_configuration(content, "a peer's version")
+            self.state.apply_full_version(configuration)
         if self.state.loaded.is_set():
             self.state.receive_confirmation(offer, asked_at)
         return offer
 
-    async def fetch_rest(self, peer, version, body):
-        """Return a whole version of which the first part is there."""
-        total, part = decode_chunk(body, 0)
-        content = bytearray(part)
+    async def fetch_chunks(self, peer, version, body):
+        """Fetch the rest of an encoded full version and return all of it.
+
+        Parameters
+        ----------
+        peer : Member
+        version : int
+        body : bytes
+            The first chunk, as it was sent.
+        """
+        total, chunk = decode_chunk(body, 0)
+        content = bytearray(chunk)
         while len(content) < total:
             request = encode_version(len(content))
             answer = await self.links.request(peer, FULL_TOPIC, request, PEER_SECONDS)
             offer, body = decode_offer(answer)
-            same_total, part = decode_chunk(body, len(content))
-            if (offer.version, same_total) != (version, total):
-                raise ProtocolError("the peer went on to another version")
-            content += part
+            new_total, chunk = decode_chunk(body, len(content))
+            if (offer.version, new_total) != (version, total):
+                raise ProtocolError(
+                    f"peer changed from version {version} to {offer.version} "
+                    f"between two chunks"
+                )
+            content += chunk
         return bytes(content)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/pushing.py
@@ -1,4 +1,4 @@
-"""Offers of the held version to a few peers, and questions for theirs."""
+"""Pushes offers of the latest version to a few peers, and gets theirs."""
 
 import asyncio
 from contextlib import suppress
@@ -12,8 +12,11 @@
 from papayabay_daemon._internal.membership.sampling import random_peers
 
 FAN_OUT = 3
+"""Peers that each new version is pushed to."""
 PARTNERS = 8
+"""Peers among which those are chosen."""
 CONFIRM_SECONDS = 2.0
+"""Longest time between two requests for a first confirmation."""
 
 
 class Pusher:
@@ -26,7 +29,12 @@
     random : random.Random
     readers : Readers
     note_offer : callable
-        Takes a version above the held one and who holds it.
+        Called with a version above the own one and the name of the peer.
+
+    Attributes
+    ----------
+    partners : list of str
+        Names of the peers that versions are pushed to.
     """
 
     def __init__(self, state, links, random, readers, note_offer):
@@ -38,7 +46,7 @@
         self.partners = []
 
     async def run(self):
-        """Offer each newer version to a few peers."""
+        """Offer each newer version to a few peers, until cancelled."""
         slots = asyncio.Semaphore(FAN_OUT * 4)
         async with asyncio.TaskGroup() as group:
             while True:
@@ -50,29 +58,30 @@
                     task.add_done_callback(lambda _: slots.release())
 
     def pick_partners(self):
-        """Return a few peers to push to.
+        """Return a few random peers to push to.
 
-        They are drawn from a small lasting choice: a fresh draw from 13,000
-        members for each version would open a new link nearly each time.
+        They are chosen from a small set of partners that stays the same while
+        these are alive. A new random choice from 13,000 members for each
+        version would nearly always open a new link.
         """
         kept = [name for name in self.partners if self.state.members.get(name)]
         if len(kept) < PARTNERS:
-            drawn = [
+            candidates = [
                 member.name
                 for member in random_peers(self.state.members, PARTNERS, self.random)
             ]
-            kept += [name for name in drawn if name not in kept]
+            kept += [name for name in candidates if name not in kept]
         self.partners = kept[:PARTNERS]
         chosen = self.random.sample(self.partners, min(FAN_OUT, len(self.partners)))
         return [self.state.members.get(name) for name in chosen]
 
     async def push(self, peer):
-        """Offer the held version to a peer and hear what it holds."""
+        """Offer the latest version to a peer."""
         self.state.counts["pushes"] += 1
         await self.exchange_offers(peer)
 
     async def exchange_offers(self, peer):
-        """Return a peer's offer for the own, or None when that fails."""
+        """Send the own offer; return the peer's offer, or None on failure."""
         asked_at = self.state.clock()
         payload = self.state.own_offer().encode()
         try:
@@ -86,20 +95,27 @@
         self.state.receive_confirmation(offer, asked_at)
         return offer
 
-    async def run_confirming(self):
-        """While unconfirmed, ask the readers of the own domain."""
+    async def run_until_confirmed(self):
+        """Ask the readers of the own domain until a version is confirmed."""
         while not self.state.confirmed:
             await asyncio.sleep(CONFIRM_SECONDS * self.random.uniform(0.5, 1.0))
             await self.ask_reader()
 
     async def ask_reader(self):
-        """Ask one reader how recently the store vouched for its version."""
+        """Ask a random reader for the confirmation of its version."""
         readers = self.readers.other_readers()
         if readers:
             await self.exchange_offers(self.random.choice(readers))
 
     async def request_confirmation(self, peer, timeout):
-        """Ask a peer the same, and wait no longer than some seconds."""
+        """Ask a peer for the confirmation of its version.
+
+        Parameters
+        ----------
+        peer : Member
+        timeout : float
+            Seconds.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 await self.exchange_offers(peer)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
@@ -42,7 +42,7 @@
             async with asyncio.timeout(self.timeout * LOAD_TIMEOUTS):
                 configuration = await self.log.load()
         except (UpgradeNeeded, CorruptRecord) as error:
-            self.state.version.refuse(error)
+            self.state.version.reject(error)
         except (PlatformError, TimeoutError) as error:
             self.note_failure(error)
         else:
@@ -64,7 +64,7 @@
             async with asyncio.timeout(self.timeout * LOAD_TIMEOUTS):
                 await self.read_head()
         except (UpgradeNeeded, CorruptRecord, StaleVersion) as error:
-            self.state.version.refuse(error)
+            self.state.version.reject(error)
         except (PlatformError, TimeoutError) as error:
             self.note_failure(error)
             return False
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/version.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/version.py
@@ -1,4 +1,4 @@
-"""The version in force; it only ever grows."""
+"""The latest and the current configuration version; neither ever decreases."""
 
 import time
 
@@ -13,11 +13,24 @@
 
 
 class VersionInForce:
-    """Holds the newest version and puts it in force when it compiles.
+    """Stores the latest version and puts it in force if it compiles.
 
-    A version that this release can't read is held all the same, so that
-    peers get it and later patches still apply; the last readable one stays
-    in force.
+    A version that this release can't read is stored all the same, so that
+    peers get it and later patches still apply. The last readable version
+    stays in force.
+
+    Attributes
+    ----------
+    latest : Configuration
+        Newest version known to this daemon.
+    current, policy : Configuration, Policy
+        Version in force, and the policy that was compiled from it.
+    applied_at : float
+        Wall time at which it came in force; 0 before any did.
+    rejection : str
+        Why a newer version is not in force; empty when the latest one is.
+    listeners : list of callable
+        Called with each policy that comes in force.
     """
 
     def __init__(self):
@@ -26,27 +39,32 @@
         self.policy = Policy()
         self.applied_at = 0.0
         self.history = History()
-        self.refused = ""
+        self.rejection = ""
         self.listeners = []
 
     def apply_patches(self, patches):
-        """Apply the patches that follow; return whether any did.
+        """Apply the patches that follow the latest version.
+
+        Patches arrive from several peers, in any order and repeatedly. Only
+        a patch to the latest version is applied, so that an old one can't
+        bring back an old version.
 
-        Patches come from several peers in any order and more than once.
-        Only the one after the held version is applied, so an old one can't
-        bring an old version back.
+        Returns
+        -------
+        bool
+            Whether any patch was applied.
         """
-        steps = []
+        versions = []
         for patch in patches:
             if patch.version == self.latest.version + 1:
                 self.latest = self.latest.apply(patch)
                 self.history.add(patch)
-                steps.append(self.latest)
-        self.put_in_force(steps)
-        return bool(steps)
+                versions.append(self.latest)
+        self.put_in_force(versions)
+        return bool(versions)
 
     def apply_full_version(self, configuration):
-        """Take a whole version; return whether it is newer."""
+        """Apply a full version; return whether it is newer."""
         if configuration.version <= self.latest.version:
             return False
         self.latest = configuration
@@ -54,30 +72,34 @@
         self.put_in_force([configuration])
         return True
 
-    def put_in_force(self, steps):
-        """Put the newest of some versions in force that compiles."""
-        for configuration in reversed(steps):
+    def put_in_force(self, versions):
+        """Put the newest version that compiles in force, if any does."""
+        for configuration in reversed(versions):
             try:
                 policy = configuration.policy(self.current, self.policy)
             except PolicyError as error:
-                self.refuse(error)
+                self.reject(error)
                 continue
             self.current = configuration
             self.policy = policy
             self.applied_at = time.time()
             log.notice("version {} is in force", configuration.version)
             if configuration is self.latest:
-                self.refused = ""
-            self.tell()
+                self.rejection = ""
+            self.notify()
             return
 
-    def refuse(self, error):
-        """Note why a version is not in force; logged once."""
-        if not self.refused:
-            log.error("version {} stays in force: {}", self.current.version, error)
-        self.refused = str(error)
+    def reject(self, error):
+        """Record why a version is not in force; log only the first reason."""
+        if not self.rejection:
+            log.error(
+                "a newer configuration can't be used; version {} stays in force: {}",
+                self.current.version,
+                error,
+            )
+        self.rejection = str(error)
 
-    def tell(self):
-        """Call the listeners with the policy now in force."""
+    def notify(self):
+        """Call the listeners with the policy in force."""
         for listener in self.listeners:
             listener(self.policy)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
@@ -1,4 +1,4 @@
-"""Follows whole versions that a store tells of as they are written."""
+"""Follows full versions in a store that notifies its readers of changes."""
 
 import asyncio
 from typing import Protocol
@@ -10,18 +10,18 @@
 from papayabay_daemon._internal.outage import Outage
 
 FIRST_PAUSE_SECONDS = 0.25
-LONGEST_PAUSE_SECONDS = 2.0
+MAX_PAUSE_SECONDS = 2.0
 """Backoff after failed reads."""
 SETTLE_SECONDS = 2.0
-"""Delay of a new daemon's second read. By then it knows its failure domain,
-and whether it is a reader."""
+"""Delay of a new daemon's second read. By then it knows the members of its
+failure domain, and whether it is a reader."""
 RECHECK_SECONDS = 0.25
 """How often a daemon checks whether it is a reader."""
 log = logbook.Logger("papayabay.configuration")
 
 
 class VersionWatch(Protocol):
-    """A store that holds the newest version whole, and tells of changes."""
+    """A store that has the newest version in full, and reports changes."""
 
     async def load(self) -> Configuration:
         """Return the newest version, version 0 before any was written.
@@ -30,25 +30,26 @@
         ------
         PlatformError
         PolicyError
-            What is stored there can't be read.
+            When the stored version can't be read.
         """
 
     async def changed(self) -> Configuration | None:
-        """Wait for a change since the last load; None when none came.
+        """Wait for a change since the last load, for some seconds at most.
 
-        Raises as `load` does, and returns within seconds.
+        Returns None when there was no change, and raises the same exceptions
+        as `load`.
         """
 
     async def poll(self) -> Configuration | None:
-        """Return a change since the last load at once; None without any."""
+        """Return the change since the last load, or None; doesn't wait."""
 
 
 class VersionWatcher:
     """Loads the newest version, then waits for newer ones.
 
-    Only the readers of a failure domain keep a request open at the store, and
-    notify the others of the domain. So the store's load grows with the number
-    of domains, not of daemons.
+    Only the readers of a failure domain keep a request to the store open, and
+    they notify the other members of the domain. So the load of the store
+    grows with the number of domains, not of daemons.
 
     Parameters
     ----------
@@ -57,6 +58,13 @@
     watch : VersionWatch
     readers : Readers
     random : random.Random
+
+    Attributes
+    ----------
+    loaded : bool
+        Whether the next read may wait for a change, rather than load.
+    stored_version : int
+        Version that the store returned last; 0 if it can't be read.
     """
 
     def __init__(self, settings, state, watch, readers, random):
@@ -66,65 +74,79 @@
         self.random = random
         self.outage = Outage(log, "configuration store")
         self.loaded = False
-        self.newest = 0
+        self.stored_version = 0
         self.pause = FIRST_PAUSE_SECONDS
 
     async def load(self):
-        """Load what the store has, if it answers."""
+        """Load the newest version from the store, if it answers."""
         await self.read(self.watch.load)
 
     async def run(self):
-        """Follow the store while it falls to this daemon, until cancelled."""
+        """Follow the store while this daemon has to read it."""
         if self.loaded:
             await asyncio.sleep(SETTLE_SECONDS)
         while True:
             if self.readers.must_read():
                 await self.follow()
             else:
-                # The version last seen here is outdated by the next read.
+                # The last version read here will be stale when it becomes a
+                # reader again.
                 self.loaded = False
                 await asyncio.sleep(RECHECK_SECONDS)
 
     async def follow(self):
-        """Read once, and pause when the store does not answer."""
-        following = self.watch.changed if self.loaded else self.watch.load
-        if not await self.read(following):
+        """Read once, and back off when the store does not answer."""
+        request = self.watch.changed if self.loaded else self.watch.load
+        if not await self.read(request):
             await asyncio.sleep(self.pause * self.random.uniform(0.5, 1.0))
-            self.pause = min(LONGEST_PAUSE_SECONDS, self.pause * 2)
+            self.pause = min(MAX_PAUSE_SECONDS, self.pause * 2)
 
     async def confirm(self):
         """Have the store confirm the version; return whether it answered."""
-        return await self.read(self.watch.poll if self.newest else self.watch.load)
-
-    async def read(self, following):
-        """Take what one read brings; return whether the store answered."""
+        return await self.read(
+            self.watch.poll if self.stored_version else self.watch.load
+        )
+
+    async def read(self, request):
+        """Make one request to the store and apply the version it returns.
+
+        Parameters
+        ----------
+        request : callable
+            A method of `watch`.
+
+        Returns
+        -------
+        bool
+            Whether the store answered.
+        """
         self.state.counts["store_reads"] += 1
         asked_at = self.state.clock()
         try:
-            configuration = await following()
+            configuration = await request()
         except PlatformError as error:
             self.loaded = False
             self.state.counts["store_errors"] += 1
             self.outage.failed(error)
             return False
         except PolicyError as error:
-            # The store answered, with something that this release can't
-            # read. It stays out of force, and the next change is awaited.
-            self.newest = 0
-            self.state.version.refuse(error)
+            # The store answered with a version that this release can't read.
+            # It does not come in force; wait for the next change.
+            self.stored_version = 0
+            self.state.version.reject(error)
         else:
             if configuration is not None:
-                self.take(configuration)
-            if 0 < self.newest <= self.state.version.latest.version:
+                self.apply(configuration)
+            if 0 < self.stored_version <= self.state.version.latest.version:
                 self.state.confirm(asked_at)
         self.loaded = True
         self.pause = FIRST_PAUSE_SECONDS
         self.outage.worked()
         return True
 
-    def take(self, configuration):
-        """Take a version, and pass it on if it is newer."""
-        self.newest = configuration.version
+    def apply(self, configuration):
+        """Apply a version, and announce it to the domain if it is newer."""
+        self.stored_version = configuration.version
         newer = configuration.version > self.state.version.latest.version
         self.state.apply_full_version(configuration)
         if newer:
--- a/tests/unit/daemon/test_confirmations.py
+++ b/tests/unit/daemon/test_confirmations.py
@@ -106,7 +106,7 @@
     def read(self, answer, newest=0):
         store = SlowStore(self.clock, answer)
         watcher = VersionWatcher(None, self.state, store, SetReaders(), random)
-        watcher.newest = newest
+        watcher.stored_version = newest
         asyncio.run(watcher.confirm())
         return watcher
 
--- a/tests/unit/daemon/test_spread_versions.py
+++ b/tests/unit/daemon/test_spread_versions.py
@@ -43,9 +43,9 @@
         mended = new_patch(2, {"future": None})
         version.apply_patches([*make_patches(1), bad])
         self.assertEqual((version.current.version, version.latest.version), (1, 2))
-        self.assertIn("future", version.refused)
+        self.assertIn("future", version.rejection)
         version.apply_patches([mended])
-        self.assertEqual((version.current.version, version.refused), (3, ""))
+        self.assertEqual((version.current.version, version.rejection), (3, ""))
 
     def test_history_is_bounded_and_knows_what_it_lacks(self):
         history, patches = History(), make_patches(PATCHES_MAX + 10)
--- a/tests/unit/daemon/test_version_watching.py
+++ b/tests/unit/daemon/test_version_watching.py
@@ -121,7 +121,7 @@
         await watcher.read(watcher.watch.changed)
         followers = {m.name for m in self.live[:DOMAIN_SIZE]} - set(names)
         self.assertEqual(self.members.told, [followers])
-        watcher.take(Configuration(self.store.version, {"services": {}}))
+        watcher.apply(Configuration(self.store.version, {"services": {}}))
         self.assertEqual(len(self.members.told), 1)
 
     async def test_one_who_hears_nobody_reads_for_itself(self):
