--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/detector.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/detector.py
@@ -8,7 +8,7 @@
 from papayabay_daemon._internal.membership.suspicion import Suspicions
 
 HELPERS = 3
-"""Members that probe one that did not answer; the number in SWIM's paper."""
+"""Members that probe one that did not answer, as many as in SWIM."""
 DIRECT_SHARE = 0.3
 """Timeout of a direct probe as a share of the period. It allows for many round
 trips within a region."""
--- a/tests/unit/daemon/membership_support.py
+++ b/tests/unit/daemon/membership_support.py
@@ -1,4 +1,4 @@
-"""Memberships of several daemons in one process."""
+"""Base test case for the memberships of several daemons in one process."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class ClusterTestCase(unittest.IsolatedAsyncioTestCase):
-    """Daemons' memberships on real loopback sockets."""
+    """Runs memberships on loopback sockets, with in-memory links and table."""
 
     def setUp(self):
         self.table = MemoryTable()
@@ -52,5 +52,6 @@
         return nodes
 
     async def all_see(self, nodes, count):
+        """Wait until each node has `count` live members."""
         for node in nodes:
             await until(lambda n=node: len(n.live()) == count, node.on_change)
--- a/tests/unit/daemon/test_membership_cluster.py
+++ b/tests/unit/daemon/test_membership_cluster.py
@@ -20,8 +20,8 @@
 from tests.unit.daemon.membership_support import ClusterTestCase
 
 
-class LifeAndDeathTest(ClusterTestCase):
-    """Who is there, and who is not any more."""
+class LifecycleTest(ClusterTestCase):
+    """Members that join, leave, die, are paused or send invalid packets."""
 
     async def test_joins_announces_leaves_and_dies(self):
         a, b, c, d = await self.start_many("abcd")
@@ -37,8 +37,8 @@
         await self.crash("c")
         await self.all_see((a, b), 2)
 
-    async def test_lost_link_probes_at_once(self):
-        """A member whose link broke was probed only in its turn."""
+    async def test_lost_link_triggers_a_probe(self):
+        """A member whose link broke was not probed before its turn."""
         a, b = await self.start_many("ab")
         probed = asyncio.Event()
         b.gossip.receive = lambda packet, address: probed.set()
@@ -48,11 +48,11 @@
         a.note_link_lost("b")
         await asyncio.wait_for(probed.wait(), BOUND_SECONDS)
 
-    async def test_a_daemon_called_dead_refutes(self):
+    async def test_live_daemon_that_was_declared_dead_refutes(self):
         """A paused daemon stayed dead for all others after it resumed.
 
-        The others declared it dead while it stood still; nobody probes the
-        dead. Cause: it never heard of its own death.
+        The others had declared it dead during the pause, and dead members
+        were not probed. Cause: it never learned that it was declared dead.
         """
         a, b, c = await self.start_many("abc")
         b.announce("shop", 4)
@@ -65,12 +65,12 @@
         self.assertGreater(b.local.incarnation, before)
         self.assertGreaterEqual(b.refutations, 1)
 
-    async def test_own_pause_kills_nobody(self):
-        """After a pause a daemon declared every other one dead.
+    async def test_pause_of_a_daemon_declares_no_other_one_dead(self):
+        """After a pause, a daemon declared all others dead.
 
-        Its timers ran out while it stood still, with the answers unread in
-        its socket. Cause: time that passed for nobody was held against the
-        others.
+        Its timers ran out during the pause, while the answers lay unread in
+        its socket. Cause: the time of its own pause counted as time without
+        an answer.
         """
         clock = PausingClock()
         node = Membership(
@@ -92,11 +92,11 @@
         node.detector.expire_suspicions()
         self.assertIsNone(node.get("b"))
 
-    async def test_ends_when_cancelled_as_an_answer_comes(self):
-        """A daemon that was told to end went on probing for ever.
+    async def test_wait_event_keeps_a_cancellation_that_comes_with_the_event(self):
+        """A daemon that was asked to stop went on probing forever.
 
-        The cancellation came in the turn of the loop in which the awaited
-        event was set. Cause: `asyncio.wait_for` of Python 3.11 dropped it.
+        The cancellation came in the same iteration of the event loop as the
+        awaited event. Cause: `asyncio.wait_for` of Python 3.11 dropped it.
         """
         event = asyncio.Event()
         waiting = asyncio.create_task(wait_event(event, BOUND_SECONDS))
@@ -107,14 +107,14 @@
         with self.assertRaises(asyncio.CancelledError):
             await waiting
 
-    async def test_strays_change_nothing(self):
+    async def test_packets_that_are_not_authentic_change_nothing(self):
         a, _ = await self.start_many("ab")
         settings = make_settings("b")
         cluster = settings.cluster.model_copy(update={"secret": "another-secret"})
         dead = Member("b", 1 << 62, "127.0.0.1", 1, 1, 1, "d1", "r1", "shop")
         forged = Packet(Kind.PING, 1, "b", 1 << 62, 99, "a")
-        heard = []
-        a.on_newer_configuration(lambda *news: heard.append(news))
+        offers = []
+        a.on_newer_configuration(lambda *offer: offers.append(offer))
         strays = a.gossip.strays
         for datagram in (
             b"\x01garbage" * 30,
@@ -124,19 +124,19 @@
             a.gossip.datagram_received(datagram, ("127.0.0.1", 9))
         self.assertEqual(a.gossip.strays, strays + 3)
         self.assertEqual(a.upstreams("shop"), [])
-        self.assertEqual(heard, [])
+        self.assertEqual(offers, [])
 
-    async def test_host_names_are_refused(self):
+    async def test_host_names_are_rejected(self):
         settings = make_settings("a")
         vm = settings.vm.model_copy(update={"host": "vm-1.example"})
-        wrong = settings.model_copy(update={"vm": vm})
+        invalid = settings.model_copy(update={"vm": vm})
         links = self.network.links("a")
         with self.assertRaisesRegex(SettingsError, "vm.host.*not an IP address"):
-            Membership(wrong, self.table, links, seeded("a"))
+            Membership(invalid, self.table, links, seeded("a"))
 
 
 class PausingClock:
-    """The loop's clock with added pauses."""
+    """The clock of the event loop, plus simulated pauses."""
 
     def __init__(self):
         self.skip = 0.0
--- a/tests/unit/daemon/test_membership_exchange.py
+++ b/tests/unit/daemon/test_membership_exchange.py
@@ -25,9 +25,9 @@
 
 
 class ExchangeTest(ClusterTestCase):
-    """How two daemons even out what they know."""
+    """Reconciliation and full transfer of member tables."""
 
-    async def test_reconciling_moves_only_the_difference(self):
+    async def test_reconcile_transfers_only_the_difference(self):
         a, b = await self.start_many("ab")
         for number in range(200):
             for node in (a, b)[: 1 if number == 7 else 2]:
@@ -40,12 +40,12 @@
         self.assertEqual(a.table.digests, b.table.digests)
         self.assertLess(self.network.bytes["members"], 512)
 
-    async def test_the_last_page_of_a_list_is_no_news(self):
-        """A daemon that joined 13,000 gossiped the last 28 of them.
+    async def test_last_page_of_a_list_is_not_gossiped_on(self):
+        """A daemon that joined 13,000 others gossiped the last 28 of them on.
 
-        Its packets had three times their quiet size for over a minute.
-        Sequence: the list comes in pages, the last one is short. Cause:
-        each page was judged by its own length.
+        Its packets had three times their normal size for over a minute. The
+        list comes in pages, of which the last one is short. Cause: each page
+        was judged by its own length.
         """
         b = Membership(
             make_settings("b"), self.table, self.network.links("b"), seeded("b")
@@ -60,10 +60,10 @@
         self.assertEqual(len(b.live()), 3)
         self.assertEqual(len(b.gossip.updates), 0)
 
-    async def test_one_reconcile_evens_out_everything(self):
-        """After regions were apart, daemons lacked most upstreams for minutes.
+    async def test_one_reconcile_exchanges_all_differences(self):
+        """After a partition, daemons lacked most upstreams for minutes.
 
-        Sequence: two parts that each know 3,000 members meet again. Cause:
+        Two sides that each know 3,000 members have contact again. Cause: only
         one page of differences was fetched each half minute.
         """
         a, b = (
@@ -79,7 +79,7 @@
         self.assertEqual(len(a.live()), 6_002)
         self.assertEqual(a.table.digests, b.table.digests)
 
-    async def test_reconcile_refuses_pages_that_do_not_go_on(self):
+    async def test_reconcile_rejects_malformed_answers(self):
         b = Membership(
             make_settings("b"), self.table, self.network.links("b"), seeded("b")
         )
@@ -100,24 +100,24 @@
                 await b.exchange.reconcile(b.local)
             self.assertEqual(links.request.await_count, len(answers))
 
-    async def test_malformed_questions_are_refused(self):
+    async def test_malformed_requests_are_rejected(self):
         b = Membership(
             make_settings("b"), self.table, self.network.links("b"), seeded("b")
         )
-        for question in (
+        for request in (
             bytes((DIGESTS_REQUEST, 0)),
             bytes((RECORDS_REQUEST, 0)),
             bytes((RECORDS_REQUEST,)) + PAIR.pack(BUCKETS, 0),
             bytes((RECORDS_REQUEST,)) + PAIR.pack(0, 2) + bytes(4),
         ):
-            with self.subTest(question), self.assertRaises(ProtocolError):
-                await b.exchange.answer(question, "a")
+            with self.subTest(request), self.assertRaises(ProtocolError):
+                await b.exchange.answer(request, "a")
 
-    async def test_reconciling_tells_of_deaths_and_of_newer_records(self):
-        """A member restarted or died while two daemons were apart.
+    async def test_reconcile_transfers_deaths_and_newer_records(self):
+        """Members died or restarted while two daemons were partitioned.
 
-        Symptom to guard against: with fingerprints alone nobody would see
-        that a record that only one of them holds belongs to the dead.
+        Guards against taking a member that only one daemon knows for a new
+        one: fingerprints alone don't show that it is dead on the other.
         """
         a, b = await self.start_many("ab")
         for name in ("dead", "newer", "older"):
@@ -135,8 +135,8 @@
             self.assertEqual(node.get("older").incarnation, 2)
         self.assertEqual(a.table.digests, b.table.digests)
 
-    async def test_a_peer_that_knows_nobody_is_told_in_pages(self):
-        """One message with 13,000 records was above what a link carries."""
+    async def test_records_for_an_empty_peer_are_sent_in_pages(self):
+        """A message with 13,000 records exceeded the limit of a link."""
         a, b = (
             Membership(make_settings(n), self.table, self.network.links(n), seeded(n))
             for n in "ab"
@@ -148,11 +148,11 @@
         sizes = []
         request = a.exchange.links.request
 
-        async def measured(peer, topic, payload, timeout):
+        async def measure(peer, topic, payload, timeout):
             sizes.append(len(payload))
             return await request(peer, topic, payload, timeout)
 
-        with mock.patch.object(a.exchange.links, "request", measured):
+        with mock.patch.object(a.exchange.links, "request", measure):
             await a.exchange.reconcile(b.local)
         self.assertEqual(a.table.digests, b.table.digests)
         self.assertLess(max(sizes), 2 * PAGE_BYTES)
--- a/tests/unit/daemon/test_membership_joining.py
+++ b/tests/unit/daemon/test_membership_joining.py
@@ -21,24 +21,24 @@
 from tests.unit.daemon.membership_support import ClusterTestCase
 
 STORE_SECONDS = 0.005
-"""An answer of the store, as its operators state it."""
-MANY = {"gossip_period_ms": 500, "suspicion_ms": 3_000}
-"""Periods for two dozen daemons in one process. With a twentieth of a second,
-as elsewhere here, its loop lags behind by a whole period, and all of them
-declare each other dead without end: in three of nine runs some never saw all.
+"""Response time of the store, as its operators state it."""
+SLOW_TIMING = {"gossip_period_ms": 500, "suspicion_ms": 3_000}
+"""Timing for two dozen daemons in one process. With the period of 50 ms of the
+other tests, the event loop lags by a full period and the daemons declare each
+other dead again and again: in three of nine runs some never saw all others.
 """
 
 
-async def note_write(written):
+async def set_event(written):
     written.set()
 
 
 class EndOfTest(Exception):
-    """Ends a loop that has none."""
+    """Raised to end an endless loop."""
 
 
 def count_calls(method, name, calls):
-    """Return a method that counts its calls."""
+    """Wrap a store method so that it counts its calls and takes time."""
 
     async def counted(*args, **kwargs):
         calls[name] += 1
@@ -49,13 +49,13 @@
 
 
 class JoiningTest(ClusterTestCase):
-    """How daemons find each other."""
+    """Joining through seed rows, with and without the store."""
 
-    async def test_seeds_that_the_store_has_lost_are_written_again(self):
-        """Whoever starts finds nobody for a minute.
+    async def test_seed_rows_that_a_restored_store_lost_are_written_again(self):
+        """Starting daemons found no seed for a minute.
 
-        Sequence: the store comes back from an older copy, without the rows;
-        one daemon hears of it, which is not the one that keeps the row.
+        The store is restored from an older copy that lacks the seed rows.
+        The daemon that learns of it first is not the writer of its row.
         """
         self.table.era.note(1)
         await self.start_many("ab")
@@ -64,16 +64,16 @@
             while f"{PREFIX}d1" not in self.table.rows:
                 await asyncio.sleep(0.01)
             self.table.rows.clear()
-            self.table.before_write = partial(note_write, written)
+            self.table.before_write = partial(set_event, written)
             self.table.era.note(2)
             await written.wait()
 
-    async def test_who_restarts_while_the_store_is_away_is_found_at_once(self):
-        """A restarted daemon knew nobody for the length of a store outage.
+    async def test_daemon_that_restarts_in_a_store_outage_is_contacted_at_once(self):
+        """A restarted daemon knew no other member until a store outage ended.
 
-        Its process is killed while the store is away, and starts again at
-        the same address. It can't read the seeds; those who lost it ask one
-        of the dead in ten periods, and it may be the last one's turn.
+        Its process is killed during the outage and starts again at the same
+        address. It can't read the seed rows. The others pinged only one
+        random dead member in ten periods.
         """
         a, b, c = await self.start_many("abc")
         port = b.local.gossip_port
@@ -82,17 +82,18 @@
         await self.all_see((a,), 1)
         self.table.down = True
         self.network.cut.discard("b")
-        begun = a.detector.periods
+        periods_before = a.detector.periods
         b = await self.start("b", gossip_port=port)
         await self.all_see((a, b), 2)
-        self.assertLess(a.detector.periods - begun, 8)
+        self.assertLess(a.detector.periods - periods_before, 8)
 
-    async def test_all_who_start_together_meet_without_gossip(self):
-        """After a restart of all, calls found no upstream for two seconds.
+    async def test_daemons_that_start_together_join_without_gossip(self):
+        """After a restart of the fleet, calls found no upstream for 2 s.
 
-        Sequence: all daemons start within 0.3 s; each asks the first seed
-        that answers, and hears of those who were there before it. Cause: the
-        others were left to gossip, which takes some periods.
+        All daemons start within 0.3 s. Each fetches the members from the
+        first seed that answers, which knows only those that started before.
+        Cause: the others were found by gossip alone, which takes some
+        periods.
         """
         names = "abcdefgh"
         nodes = await self.start_many(names)
@@ -109,17 +110,17 @@
             mock.patch.object(Detector, "start_period"),
             mock.patch.object(Joining, "maintain_seeds"),
         ):
-            again = [
+            restarted = [
                 await self.start(name, gossip_port=ports[name], **slow)
                 for name in names
             ]
-            await self.all_see(again, len(names))
+            await self.all_see(restarted, len(names))
 
-    async def test_a_new_target_is_told_without_gossip(self):
-        """A target that had just started stood idle for seconds.
+    async def test_new_target_is_announced_without_gossip(self):
+        """A target that had just started was idle for seconds.
 
-        Sequence: its daemon has joined, and announces it a moment later.
-        Cause: the news went by gossip alone, one member in a period.
+        Its daemon has joined, and announces it a moment later. Cause: the
+        announcement went by gossip alone, to one member per period.
         """
         nodes = await self.start_many("abcdefgh")
         await self.all_see(nodes, len(nodes))
@@ -130,56 +131,56 @@
         for node in nodes:
             await until(lambda n=node: n.upstreams("shop"), node.on_change)
 
-    async def test_seeds_while_the_store_is_down_then_back(self):
+    async def test_daemons_join_after_a_store_outage(self):
         self.table.down = True
         a = await self.start("a")
         b = await self.start("b", domain="d2")
         failed = asyncio.Event()
         scan = self.table.scan
 
-        async def scan_and_tell(*args, **kwargs):
+        async def scan_and_signal(*args, **kwargs):
             failed.set()
             return await scan(*args, **kwargs)
 
-        self.table.scan = scan_and_tell
+        self.table.scan = scan_and_signal
         await asyncio.wait_for(failed.wait(), 10)
         self.assertEqual(len(a.live()), 1)
         self.table.down = False
         await self.all_see((a, b), 2)
         self.assertTrue(a.status()["store_reachable"])
 
-    async def test_a_domain_that_starts_at_once_asks_the_store_little(self):
-        """A restart of 195 daemons took 10 calls of the store each.
+    async def test_domain_that_starts_at_once_needs_few_store_calls(self):
+        """A restart of 195 daemons took 10 store calls per daemon.
 
-        Sequence: all start within moments, find no seeds, and write
-        themselves down; most writes meet another and are tried again. Cause:
-        each wrote its row until it had met somebody, however many seeds
-        stood there already.
+        All start at nearly the same time, find no seeds and add themselves
+        to the row; most of these writes conflict and are retried. Cause: each
+        daemon wrote the row until it knew another member, however many seeds
+        were in it already.
         """
         names = [f"n{number}" for number in range(24)]
         calls = Counter()
         for name in ("get", "scan", "write"):
             counted = count_calls(getattr(self.table, name), name, calls)
             setattr(self.table, name, counted)
-        starts = (self.start(name, **MANY) for name in names)
+        starts = (self.start(name, **SLOW_TIMING) for name in names)
         nodes = await asyncio.gather(*starts)
         await self.all_see(nodes, len(names))
         self.assertLessEqual(calls.total(), 4 * len(names), calls)
 
-    async def test_racing_seed_writes_lose_nobody(self):
+    async def test_concurrent_seed_writes_lose_no_seed(self):
         """One of two daemons that started together was never found.
 
-        Both read an empty row and wrote it; the later write replaced the
-        earlier. Cause: a write without a condition.
+        Both read an empty row and wrote it, and the later write replaced the
+        earlier one. Cause: a write without a condition.
         """
         both = asyncio.Barrier(2)
 
-        async def meet():
+        async def wait_for_both():
             if both.n_waiting:
                 self.table.before_write = None
             await both.wait()
 
-        self.table.before_write = meet
+        self.table.before_write = wait_for_both
         nodes = [
             Membership(make_settings(n), self.table, self.network.links(n), seeded(n))
             for n in "ab"
@@ -191,11 +192,11 @@
         self.assertEqual(sorted(names), ["a", "b"])
         self.assertEqual(sum(node.seeds.conflicts for node in nodes), 1)
 
-    async def test_a_joiner_does_not_gossip_the_whole_list(self):
-        """News of a death waited behind thousands of old records.
+    async def test_joining_daemon_does_not_gossip_the_full_list(self):
+        """The update on a death was queued behind thousands of old records.
 
         A daemon that had just joined gossiped on each record of the list
-        that it was given. Cause: the list was taken in as news.
+        that it had fetched. Cause: all of them counted as new updates.
         """
         a, b = (
             Membership(make_settings(n), self.table, self.network.links(n), seeded(n))
@@ -210,23 +211,23 @@
         self.assertEqual(len(b.gossip.updates), 0)
         self.assertEqual(list(a.gossip.updates.level_of), ["b"])
 
-    async def test_a_store_that_was_away_for_long_is_noticed_within_two_seconds(self):
-        """A fleet met ten seconds after the store was back.
+    async def test_pause_between_join_attempts_is_at_most_two_seconds(self):
+        """A fleet joined only ten seconds after the end of a store outage.
 
-        Sequence: all daemons are killed while the store is away, and start
-        again; each finds no seed, and tries again after ever longer pauses.
-        Cause: the pauses grew to ten seconds.
+        All daemons are killed during the outage and start again. Each finds
+        no seed and attempts again after growing pauses. Cause: the pauses grew
+        to ten seconds.
         """
-        tries = [False] * 9 + [True]
+        attempts = [False] * 9 + [True]
         settings = make_settings("a")
         node = Membership(settings, self.table, self.network.links("a"), seeded("a"))
         joining = node.joining
         with (
-            mock.patch.object(joining, "join", side_effect=tries),
+            mock.patch.object(joining, "join", side_effect=attempts),
             mock.patch.object(joining, "maintain_seeds", side_effect=EndOfTest),
             mock.patch("asyncio.sleep") as sleep,
             self.assertRaises(EndOfTest),
         ):
             await joining.run_seeds()
-        pauses = [call.args[0] for call in sleep.await_args_list[: len(tries) - 1]]
+        pauses = [call.args[0] for call in sleep.await_args_list[: len(attempts) - 1]]
         self.assertLessEqual(max(pauses), 2.0)
