--- a/tests/unit/daemon/test_confirmations.py
+++ b/tests/unit/daemon/test_confirmations.py
@@ -1,4 +1,4 @@
-"""How long a daemon may rely on the accounts that it knows."""
+"""Age of confirmations, and their renewal by single daemons and a fleet."""
 
 import asyncio
 import random
@@ -12,8 +12,8 @@
 from papayabay_daemon._internal.configuration.watching import VersionWatcher
 from tests.lib.virtual_time import run_virtually
 
-BOUND_S = 5.0
-VALUES = {"authentication": {"max_staleness_ms": int(BOUND_S * 1_000)}}
+MAX_STALENESS_S = 5.0
+VALUES = {"authentication": {"max_staleness_ms": int(MAX_STALENESS_S * 1_000)}}
 STORE_ANSWER_S = 0.004
 FLEET = 62
 DOMAINS = 4
@@ -21,7 +21,7 @@
 
 
 class SilentMembers:
-    """Members that nobody tells anything."""
+    """Members that ignore all announcements."""
 
     def set_configuration(self, version):
         pass
@@ -30,8 +30,8 @@
         pass
 
 
-class SetReaders:
-    """`Readers` that tests set."""
+class FixedReaders:
+    """`Readers` with values that tests set."""
 
     def __init__(self, reads=False, index=0, first=None, others=()):
         self.reads = reads
@@ -80,15 +80,15 @@
 
 
 class SlowStore:
-    """A store whose answers are under way for some time."""
+    """A store that takes some time to answer."""
 
     def __init__(self, clock, answer):
         self.clock = clock
         self.answer = answer
-        self.takes = 3.0
+        self.latency = 3.0
 
     async def load(self):
-        self.clock.now += self.takes
+        self.clock.now += self.latency
         if isinstance(self.answer, Exception):
             raise self.answer
         return self.answer
@@ -96,8 +96,8 @@
     changed = poll = load
 
 
-class DatingTests(unittest.TestCase):
-    """What is known is as old as the question was, wherever it came from."""
+class ConfirmationAgeTests(unittest.TestCase):
+    """A confirmation is as old as the request for it, whoever answered."""
 
     def setUp(self):
         self.clock = Clock()
@@ -105,65 +105,65 @@
 
     def read(self, answer, newest=0):
         store = SlowStore(self.clock, answer)
-        watcher = VersionWatcher(None, self.state, store, SetReaders(), random)
+        watcher = VersionWatcher(None, self.state, store, FixedReaders(), random)
         watcher.stored_version = newest
         asyncio.run(watcher.confirm())
         return watcher
 
-    def test_an_answer_of_the_store_is_as_old_as_its_question(self):
-        """Guards against a revocation while the answer was under way."""
+    def test_age_of_an_answer_counts_from_the_request(self):
+        """Guards against missing a revocation during a slow answer."""
         self.read(version(1))
         self.assertEqual(self.state.staleness(), 3.0)
 
-    def test_no_change_confirms_what_is_held(self):
+    def test_answer_without_change_confirms_the_latest_version(self):
         self.read(None, newest=1)
         self.assertEqual(self.state.staleness(), 3.0)
 
-    def test_a_version_that_can_t_be_read_confirms_nothing(self):
-        """Guards against keys that an unreadable version has revoked."""
+    def test_unreadable_version_confirms_nothing(self):
+        """Guards against accepting keys that an unreadable version revoked."""
         watcher = self.read(PolicyError("unreadable"), newest=1)
         self.assertEqual(self.state.staleness(), float("inf"))
         watcher.watch.answer = None
         asyncio.run(watcher.read(watcher.watch.poll))
         self.assertEqual(self.state.staleness(), float("inf"))
 
-    def test_a_store_that_fails_confirms_nothing(self):
+    def test_failed_read_confirms_nothing(self):
         self.read(PlatformError("refused"))
         self.assertEqual(self.state.staleness(), float("inf"))
 
-    def test_a_peer_s_answer_is_older_by_the_time_since_it_was_asked(self):
-        """Guards against a proof that grows younger on its way."""
+    def test_age_of_a_peer_s_confirmation_includes_the_time_since_the_request(self):
+        """Guards against a confirmation that gets younger in transit."""
         asked_at = self.clock.now
         self.clock.now += 2.0
         self.state.peer_confirmed(1, 500, asked_at)
         self.assertEqual(self.state.staleness(), 2.5)
 
-    def test_an_offer_that_nobody_asked_for_has_no_age(self):
-        """Guards against an offer that lay unread while this was stopped."""
+    def test_unsolicited_offer_confirms_nothing(self):
+        """Guards against an offer that lay unread during a pause."""
         self.state.receive_confirmation(Offer(1, 0.1))
         self.assertEqual(self.state.staleness(), float("inf"))
 
-    def test_a_newer_version_of_a_peer_confirms_nothing_here(self):
-        """Guards against keys that the newer version has revoked."""
+    def test_newer_version_of_a_peer_confirms_nothing(self):
+        """Guards against accepting keys that the newer version revoked."""
         self.state.peer_confirmed(2, 0, self.clock.now)
         self.assertEqual(self.state.staleness(), float("inf"))
 
-    def test_an_older_version_of_a_peer_does(self):
+    def test_older_version_of_a_peer_confirms_the_latest_version(self):
         self.state.apply_full_version(version(3))
         self.state.peer_confirmed(2, 0, self.clock.now)
         self.assertEqual(self.state.staleness(), 0.0)
 
-    def test_an_age_in_milliseconds_is_never_too_young(self):
+    def test_age_in_milliseconds_is_rounded_up(self):
         self.state.confirm(self.clock.now - 0.0101)
         self.assertEqual(self.state.own_confirmation(), (1, 11))
 
-    def test_without_a_bound_nothing_is_passed_on(self):
+    def test_without_maximum_staleness_no_confirmation_is_passed_on(self):
         state = ConfigurationState(SilentMembers(), self.clock)
         state.confirm(self.clock.now)
         self.assertIsNone(state.own_confirmation())
 
-    def test_a_restored_store_is_not_relied_on_at_once(self):
-        """Guards against a revocation that the store's copy does not have."""
+    def test_restored_store_confirms_nothing_at_first(self):
+        """Guards against missing a revocation that the store's copy lacks."""
         self.state.confirm(self.clock.now)
         self.state.store_restored()
         self.state.confirm(self.clock.now + 0.5)
@@ -174,7 +174,7 @@
 
 
 class FleetStore:
-    """A store that some daemons can't reach; counts the others' calls."""
+    """A store that some daemons can't reach; counts all calls."""
 
     def __init__(self):
         self.unreachable = set()
@@ -192,13 +192,13 @@
 
 
 class FleetDaemon:
-    """One daemon's state and confirmer, in a fleet that answers calls."""
+    """The state and confirmer of one daemon in a fleet."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
         self.name = name
         self.state = make_state(asyncio.get_running_loop().time)
-        readers = SetReaders(
+        readers = FixedReaders(
             name < DOMAINS * READERS,
             index=name,
             first=0 if name else None,
@@ -215,7 +215,7 @@
         await self.fleet.ask(self, self.fleet.daemons[name])
 
     async def serve(self):
-        """Serve keyed requests, and call others for them."""
+        """Serve authenticated requests, and call other daemons for them."""
         rng = random.Random(f"calls-{self.name}")
         while True:
             await asyncio.sleep(rng.expovariate(self.fleet.requests_a_second))
@@ -226,7 +226,7 @@
 
 
 class Fleet:
-    """Daemons that hear of each other by answers to calls."""
+    """Daemons that get confirmations with the answers to their calls."""
 
     def __init__(self):
         self.store = FleetStore()
@@ -248,34 +248,34 @@
         if not fresh:
             self.stale.append((asyncio.get_running_loop().time(), daemon.name))
 
-    async def run(self, trouble):
+    async def run(self, scenario):
         tasks = [
             asyncio.ensure_future(work)
             for daemon in self.daemons
             for work in (daemon.confirmer.run(), daemon.serve())
         ]
         try:
-            await trouble(self)
+            await scenario(self)
         finally:
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def play(trouble):
-    """Return a fleet after some trouble in virtual time."""
+def play(scenario):
+    """Return a fleet after a scenario in virtual time."""
 
     async def main():
         fleet = Fleet()
-        await fleet.run(trouble)
+        await fleet.run(scenario)
         return fleet
 
     return run_virtually(main)
 
 
 class FleetTests(unittest.TestCase):
-    def test_a_calm_fleet_asks_the_store_seldom_and_stays_fresh(self):
-        """Guards against a question to the store by each daemon."""
+    def test_fleet_stays_fresh_with_few_store_calls(self):
+        """Guards against a store call by each daemon."""
 
         async def calm(fleet):
             await asyncio.sleep(2.0)
@@ -285,10 +285,10 @@
 
         fleet = play(calm)
         self.assertEqual(fleet.stale, [])
-        self.assertLess(fleet.store.calls, 1.5 * 40.0 / (BOUND_S * 0.25))
+        self.assertLess(fleet.store.calls, 1.5 * 40.0 / (MAX_STALENESS_S * 0.25))
 
-    def test_a_fleet_without_requests_asks_no_more_often(self):
-        """Guards against readers that ask each for want of calls."""
+    def test_idle_fleet_makes_no_more_store_calls(self):
+        """Guards against store calls by every reader without any calls."""
 
         async def idle(fleet):
             fleet.requests_a_second = 0.01
@@ -297,41 +297,44 @@
             await asyncio.sleep(40.0)
 
         fleet = play(idle)
-        self.assertLess(fleet.store.calls, 1.5 * 40.0 / (BOUND_S * 0.25))
+        self.assertLess(fleet.store.calls, 1.5 * 40.0 / (MAX_STALENESS_S * 0.25))
 
-    def test_a_store_that_is_away_is_not_asked_without_a_pause(self):
-        """Guards against outdated confirmations that count as success."""
+    def test_failed_renewals_back_off(self):
+        """Guards against stale confirmations that count as success."""
 
-        async def away(fleet):
+        async def store_outage(fleet):
             await asyncio.sleep(2.0)
             fleet.store.unreachable = set(range(FLEET))
             fleet.store.calls = 0
             await asyncio.sleep(9.0)
 
-        self.assertLess(play(away).store.calls, 9.0 * FLEET)
+        self.assertLess(play(store_outage).store.calls, 9.0 * FLEET)
 
-    def test_a_third_without_the_store_goes_on_by_its_peers(self):
-        """Guards against daemons that refuse what peers know to be valid."""
+    def test_daemons_without_the_store_get_confirmations_from_peers(self):
+        """Guards against refusing keys that peers know to be valid."""
 
-        async def partly_away(fleet):
+        async def partial_outage(fleet):
             await asyncio.sleep(2.0)
             fleet.stale.clear()
             fleet.store.unreachable = set(range(0, FLEET, 3))
             await asyncio.sleep(9.0)
 
-        self.assertEqual(play(partly_away).stale, [])
+        self.assertEqual(play(partial_outage).stale, [])
 
-    def test_daemons_cut_off_refuse_inside_the_bound_and_come_back(self):
-        """Guards against a revoked key that runs where nobody can tell."""
+    def test_partitioned_daemons_become_stale_in_time_and_recover(self):
+        """Guards against accepting a revoked key beyond the maximum staleness.
+
+        A quarter of the daemons reach neither the store nor the others.
+        """
         cut = set(range(0, FLEET, 4))
 
-        async def cut_off(fleet):
+        async def partition(fleet):
             await asyncio.sleep(2.0)
             fleet.stale.clear()
             fleet.cut = fleet.store.unreachable = cut
-            begun = asyncio.get_running_loop().time()
-            await asyncio.sleep(BOUND_S)
-            fleet.times = [moment - begun for moment, _ in fleet.stale]
+            started = asyncio.get_running_loop().time()
+            await asyncio.sleep(MAX_STALENESS_S)
+            fleet.times = [time - started for time, _ in fleet.stale]
             for daemon in (fleet.daemons[name] for name in cut):
                 self.assertFalse(daemon.confirmer.is_fresh())
             fleet.cut, fleet.store.unreachable = set(), set()
@@ -339,10 +342,10 @@
             fleet.stale.clear()
             await asyncio.sleep(5.0)
 
-        fleet = play(cut_off)
+        fleet = play(partition)
         self.assertEqual(fleet.stale, [])
         self.assertLessEqual({name for _, name in fleet.stale}, cut)
-        self.assertGreater(min(fleet.times), 0.6 * BOUND_S)
+        self.assertGreater(min(fleet.times), 0.6 * MAX_STALENESS_S)
 
 
 if __name__ == "__main__":
