--- a/tests/unit/daemon/test_spread_cluster.py
+++ b/tests/unit/daemon/test_spread_cluster.py
@@ -21,7 +21,7 @@
 
 
 class MemoryObjects:
-    """An object store that fails together with a table."""
+    """An object store that is down whenever a table is."""
 
     def __init__(self, table):
         self.table = table
@@ -41,7 +41,7 @@
 
 
 class Node:
-    """Membership and configuration of one daemon."""
+    """The membership and the configuration of one daemon."""
 
     def __init__(self, test, name, domain):
         slow = {"gossip_period_ms": 200, "suspicion_ms": 5_000}
@@ -54,9 +54,9 @@
         )
         self.changed = asyncio.Event()
         self.versions = []
-        self.configuration.on_change(self.note)
+        self.configuration.on_change(self.record)
 
-    def note(self, policy):
+    def record(self, policy):
         self.versions.append(policy.version)
         self.changed.set()
 
@@ -66,13 +66,16 @@
             group.create_task(self.configuration.run())
 
     async def reaches(self, version):
+        """Wait until a version is in force."""
         async with asyncio.timeout(BOUND_SECONDS):
             while self.configuration.policy.version < version:
                 self.changed.clear()
                 await self.changed.wait()
 
 
-class SpreadTest(unittest.IsolatedAsyncioTestCase):
+class PropagationTest(unittest.IsolatedAsyncioTestCase):
+    """Propagation of versions through a cluster, with and without a store."""
+
     def setUp(self):
         self.table = MemoryTable()
         self.log = ConfigurationLog(self.table, MemoryObjects(self.table))
@@ -96,7 +99,8 @@
         await self.log.commit(patch)
         return patch
 
-    async def settled(self, nodes):
+    async def all_joined(self, nodes):
+        """Wait until all nodes have loaded and know each other."""
         count = len(nodes)
         for node in nodes:
             await asyncio.wait_for(node.configuration.loaded.wait(), BOUND_SECONDS)
@@ -105,15 +109,15 @@
 
     async def start_many(self, count):
         nodes = [await self.start(f"n{i}", f"d{i % 4}") for i in range(count)]
-        await self.settled(nodes)
+        await self.all_joined(nodes)
         return nodes
 
-    async def test_reaches_all_with_the_store_cut_after_the_commit(self):
-        """A change was accepted, then the store went down.
+    async def test_patch_reaches_all_when_the_store_fails_after_the_commit(self):
+        """A committed change stayed at one daemon for a store outage.
 
-        Only the daemon that the operator's command told had the patch; the
-        others were waiting for the store. Cause: versions spread by reads
-        of the store alone.
+        The store went down right after the commit. Only the daemon to which
+        the operator's command had sent the patch had it. Cause: versions
+        propagated by reads of the store alone.
         """
         await self.commit(0)
         nodes = await self.start_many(NODES)
@@ -126,10 +130,10 @@
         for node in nodes:
             await node.reaches(2)
             self.assertEqual(node.versions, sorted(set(node.versions)))
-        heard = self.network.bytes["config-tail"]
-        self.assertLess(heard, 3 * NODES * 500)
+        pulled_bytes = self.network.bytes["config-tail"]
+        self.assertLess(pulled_bytes, 3 * NODES * 500)
 
-    async def test_readers_bring_a_commit_to_all(self):
+    async def test_readers_propagate_a_commit_to_all(self):
         nodes = await self.start_many(12)
         for base in range(3):
             await self.commit(base)
@@ -144,12 +148,16 @@
             self.assertEqual(views, [views[0]] * 3)
             self.assertEqual(len(views[0]), 2)
 
-    async def test_start_in_an_outage_takes_the_highest_and_says_so(self):
-        """A daemon that started in an outage served an old version as new."""
+    async def test_start_in_an_outage_loads_the_highest_version_unconfirmed(self):
+        """A daemon that started in an outage took an old version as confirmed.
+
+        A peer's confirmation counts only if it is recent and for the same
+        version.
+        """
         await self.commit(0)
         a = await self.start("a")
         b = await self.start("b")
-        await self.settled([a, b])
+        await self.all_joined([a, b])
         self.table.down = True
         late = Node(self, "late", "d1")
         for peer in (a, b):
@@ -169,8 +177,8 @@
         late.configuration.state.receive_confirmation(Offer(2, 0.5))
         self.assertTrue(late.configuration.confirmed)
 
-    async def test_stale_reads_do_not_go_back(self):
-        """A read of an old copy of the head took a daemon back."""
+    async def test_stale_reads_are_ignored(self):
+        """A stale read of the head put an older version in force again."""
         for base in range(3):
             await self.commit(base)
         node = Node(self, "a", "d1")
@@ -184,7 +192,7 @@
         self.assertEqual(node.configuration.counts["stale_reads"], 1)
         self.assertEqual(node.versions, [3, 4])
 
-    async def test_store_failures_are_counted_and_survived(self):
+    async def test_daemon_recovers_after_store_failures(self):
         node = Node(self, "a", "d1")
         self.table.down = True
         for _ in range(3):
@@ -197,11 +205,11 @@
             node.configuration.store_reachable and node.configuration.confirmed
         )
 
-    async def test_large_versions_and_tails_come_in_parts(self):
+    async def test_large_versions_and_patches_are_sent_in_chunks(self):
         """A new daemon never got a large policy from its peers.
 
-        The whole version did not fit in one link message. Cause: it was
-        sent in one answer, however large.
+        The full version did not fit into one link message. Cause: it was
+        sent in a single answer of any size.
         """
         calls = {
             f"c{i}": {"methods": ["GET"], "path": "/" + "x" * 900} for i in range(200)
@@ -223,8 +231,11 @@
             new.configuration.current.values, node.configuration.current.values
         )
 
-    async def test_offers_that_bring_nothing_are_failures(self):
-        """A peer that claimed a version it did not send was asked at once."""
+    async def test_pull_without_the_offered_version_is_a_failure(self):
+        """A peer that offered a version but did not send it was asked again.
+
+        Cause: its answer counted as a success, so that there was no backoff.
+        """
         node, other = Node(self, "a", "d1"), Node(self, "b", "d1")
 
         async def claim(payload, peer):
@@ -233,7 +244,7 @@
         self.network.handlers["a"]["config-tail"] = claim
         self.assertFalse(await other.configuration.puller.pull(node.members.local))
 
-    async def test_lagging_peer_gets_the_whole_version(self):
+    async def test_lagging_peer_gets_the_full_version(self):
         node, other = Node(self, "a", "d1"), Node(self, "b", "d1")
         for base in range(2):
             await self.commit(base)
--- a/tests/unit/daemon/test_spread_versions.py
+++ b/tests/unit/daemon/test_spread_versions.py
@@ -16,8 +16,8 @@
 
 
 class VersionsTest(unittest.TestCase):
-    def test_no_order_of_arrival_goes_back(self):
-        """An older policy came back in force after a reordered push."""
+    def test_versions_never_decrease_in_any_order_of_arrival(self):
+        """An older policy came in force again after a reordered push."""
         patches = make_patches(12)
         for seed in range(100):
             shuffler = random.Random(seed)
@@ -27,8 +27,8 @@
                 start = shuffler.randrange(12)
                 part = patches[start : start + shuffler.randrange(1, 5)]
                 if shuffler.random() < 0.2:
-                    whole = Configuration(start, {"services": {}})
-                    version.apply_full_version(whole)
+                    full = Configuration(start, {"services": {}})
+                    version.apply_full_version(full)
                 else:
                     version.apply_patches(part)
             versions = [policy.version for policy in seen]
@@ -39,15 +39,15 @@
 
     def test_unreadable_version_leaves_the_old_one_in_force(self):
         version = VersionInForce()
-        bad = new_patch(1, {"future": {"x": 1}})
-        mended = new_patch(2, {"future": None})
-        version.apply_patches([*make_patches(1), bad])
+        unreadable = new_patch(1, {"future": {"x": 1}})
+        readable = new_patch(2, {"future": None})
+        version.apply_patches([*make_patches(1), unreadable])
         self.assertEqual((version.current.version, version.latest.version), (1, 2))
         self.assertIn("future", version.rejection)
-        version.apply_patches([mended])
+        version.apply_patches([readable])
         self.assertEqual((version.current.version, version.rejection), (3, ""))
 
-    def test_history_is_bounded_and_knows_what_it_lacks(self):
+    def test_history_is_bounded_and_reports_evicted_patches(self):
         history, patches = History(), make_patches(PATCHES_MAX + 10)
         self.assertIsNone(history.after(0))
         for patch in patches:
@@ -56,7 +56,7 @@
         self.assertEqual(history.after(10), patches[10:])
         self.assertEqual(history.after(PATCHES_MAX + 10), [])
 
-    def test_offers_survive_and_short_ones_are_refused(self):
+    def test_offers_round_trip_and_short_ones_are_rejected(self):
         for offer in (Offer(7, None), Offer(2**63, 1.5)):
             self.assertEqual(decode_offer(offer.encode() + b"x"), (offer, b"x"))
         for size in range(12):
--- a/tests/unit/daemon/test_version_watching.py
+++ b/tests/unit/daemon/test_version_watching.py
@@ -1,4 +1,4 @@
-"""How whole versions reach a failure domain by few reads of the store."""
+"""Propagation of full versions in a failure domain by few store reads."""
 
 import asyncio
 import random
@@ -17,33 +17,33 @@
 
 
 class EndOfTest(Exception):
-    """Ends a loop that has none."""
+    """Raised to end an endless loop."""
 
 
 class FakeMembers:
-    """Members as one of them knows them, and what it told others."""
+    """Members as one daemon knows them; records its announcements."""
 
     def __init__(self, local, live):
         self.local = local
-        self.everybody = live
-        self.silent = 0.0
-        self.told = []
+        self.live_members = live
+        self.packet_age = 0.0
+        self.announced = []
 
     def live(self):
-        return self.everybody
+        return self.live_members
 
     def seconds_since_packet(self):
-        return self.silent
+        return self.packet_age
 
     def set_configuration(self, version):
         pass
 
     def announce_version(self, peers):
-        self.told.append({peer.name for peer in peers})
+        self.announced.append({peer.name for peer in peers})
 
 
-class CountedStore:
-    """Holds one version; counts what is asked of it."""
+class RecordingStore:
+    """A store with one version that records its calls."""
 
     def __init__(self):
         self.version = 1
@@ -69,7 +69,7 @@
 class WatchingTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.live = make_members(DOMAIN_SIZE, "d1") + make_members(DOMAIN_SIZE, "d2")
-        self.store = CountedStore()
+        self.store = RecordingStore()
 
     def watcher(self, local):
         self.members = FakeMembers(local, self.live)
@@ -79,11 +79,11 @@
         return VersionWatcher(settings, state, self.store, readers, random.Random(1))
 
     async def run_for(self, watcher, turns):
-        """Load, then run until so many reads or looks have been made."""
+        """Load, then run until the watcher has slept `turns` times."""
         await watcher.load()
-        left = [None] * turns + [EndOfTest]
+        sleeps = [None] * turns + [EndOfTest]
         with (
-            mock.patch("asyncio.sleep", side_effect=left),
+            mock.patch("asyncio.sleep", side_effect=sleeps),
             self.assertRaises(EndOfTest),
         ):
             async with asyncio.timeout(5):
@@ -94,50 +94,52 @@
         readers = self.watcher(first).readers
         return [member.name for member in readers.current()]
 
-    async def test_a_fleet_asks_the_store_no_more_than_its_readers_do(self):
-        """Questions at the store grew with the number of daemons.
+    async def test_only_readers_watch_the_store(self):
+        """The load of the store grew with the number of daemons.
 
-        Sequence: 195 daemons keep a question of 10 s open each, and each
-        change answers all of them at once. Cause: every daemon watched; 1,300
-        questions a second of 13,000 daemons are most of what the store takes.
+        Each of 195 daemons kept a request of 10 s open, and each change was
+        sent to all of them at once. Cause: every daemon watched the store;
+        the 1,300 requests per second of 13,000 daemons are most of what the
+        store can handle.
         """
-        asking = self.readers_of("d1") + self.readers_of("d2")
+        readers = self.readers_of("d1") + self.readers_of("d2")
         for member in self.live:
-            if member.name in asking:
+            if member.name in readers:
                 continue
             self.store.calls.clear()
             await self.run_for(self.watcher(member), 20)
             self.assertEqual(self.store.calls, ["load"])
 
-    async def test_a_reader_tells_its_whole_domain_at_once(self):
-        """A version was in force seconds late where few daemons read.
+    async def test_reader_announces_a_version_to_its_domain_at_once(self):
+        """A version came in force seconds late at daemons that are no readers.
 
-        Sequence: two of 32 daemons hear of it from the store. Cause: the
-        others were left to gossip, which reaches some only after periods.
+        Two of 32 daemons receive it from the store. Cause: the others got it
+        by gossip alone, which reaches some of them only after several
+        periods.
         """
         names = self.readers_of("d1")
         reader = next(member for member in self.live if member.name == names[0])
         watcher = self.watcher(reader)
         await watcher.read(watcher.watch.changed)
         followers = {m.name for m in self.live[:DOMAIN_SIZE]} - set(names)
-        self.assertEqual(self.members.told, [followers])
+        self.assertEqual(self.members.announced, [followers])
         watcher.apply(Configuration(self.store.version, {"services": {}}))
-        self.assertEqual(len(self.members.told), 1)
+        self.assertEqual(len(self.members.announced), 1)
 
-    async def test_one_who_hears_nobody_reads_for_itself(self):
-        """A daemon routed by an old version while it was cut off from peers.
+    async def test_isolated_daemon_reads_the_store_itself(self):
+        """A daemon routed by a stale version while it was partitioned.
 
-        Sequence: a partition parts it from all other daemons, not from the
-        store nor its callers; the operator changes a route. Cause: it was no
-        reader and waited for those it could not hear.
+        A partition separates it from all other daemons, but not from the
+        store and its callers, and the operator changes a route. Cause: it was
+        no reader and relied on readers that it could not reach.
         """
-        asking = self.readers_of("d1")
-        member = next(m for m in self.live if m.name not in asking)
+        readers = self.readers_of("d1")
+        member = next(m for m in self.live if m.name not in readers)
         watcher = self.watcher(member)
-        self.members.silent = 1.6 * PERIOD_SECONDS
+        self.members.packet_age = 1.6 * PERIOD_SECONDS
         await watcher.load()
         self.store.calls.clear()
-        # One read that begins anew: what it had seen of the store grew old.
+        # Its last read is stale, so that it has to load again.
         watcher.loaded = False
         self.assertTrue(watcher.readers.must_read())
         await watcher.follow()
