--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/parts.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/equal_shares.py
@@ -5,7 +5,7 @@
 from papayabay_daemon._internal.accounts.buckets import TokenBucket
 
 
-class EqualParts:
+class EqualShareLimiter:
     """A `Limiter` that asks nobody: each daemon has the same part.
 
     It needs no message, and serves an account little whose requests enter by
@@ -25,7 +25,7 @@
         self.started_at = clock()
         self.buckets = {}
 
-    async def take(self, account):
+    async def acquire(self, account):
         """Take a token; see `Limiter`."""
         bucket = self.bucket_of(account)
         moment = self.clock()
@@ -33,9 +33,9 @@
             retry_ms = whole_ms(bucket.retry_s(moment))
             raise CallError(ErrorKind.RATE_LIMITED, retry_after_ms=retry_ms)
 
-    def give_back(self, account):
+    def refund(self, account):
         """Give a token back; see `Limiter`."""
-        self.bucket_of(account).give_back()
+        self.bucket_of(account).refund()
 
     def bucket_of(self, account):
         """Return the bucket of an account's part."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -22,7 +22,7 @@
 
 
 async def no_dispatch(call):
-    """Refuse a forwarded call before `handle_forwarded` was called."""
+    """Refuse a forwarded call before `set_forwarded_dispatch` was called."""
     raise CallError(ErrorKind.LEAVING, "this daemon takes no forwarded calls")
 
 
@@ -53,7 +53,7 @@
     claims : ClaimStore
         Its `counters` hold ``writes``, ``outcome_writes``, ``reads``,
         ``ambiguous``, ``refused`` and ``claims_held_back``.
-    known : KeyTable
+    key_table : KeyTable
         What is remembered of keys.
     held : dict
         Entries of claims that were not run, the longest held first.
@@ -71,9 +71,9 @@
         self.clock = clock
         self.mint_keys = mint_keys
         self.claims = ClaimStore(table, clock, sleep, timeout)
-        self.known = KeyTable(clock)
+        self.key_table = KeyTable(clock)
         self.state = GateState(
-            local, links, members, clock, mint_keys, self.claims, self.known
+            local, links, members, clock, mint_keys, self.claims, self.key_table
         )
         self.counters = self.state.counters
         self.tasks = self.state.tasks
@@ -95,20 +95,20 @@
         self.held = self.held_claims.entries
         self.holders = hints.names
 
-    def handle_forwarded(self, dispatch):
+    def set_forwarded_dispatch(self, dispatch):
         """Set what sends on calls that other daemons forward to this one."""
         self.forwarded_dispatch = dispatch
 
-    def check_before_claim(self, would_take):
+    def set_claim_precheck(self, precheck):
         """Set what is asked before a key is claimed for the first time.
 
         Parameters
         ----------
-        would_take : callable
+        precheck : callable
             Takes the call; raises a ``not run`` `CallError` when it would be
             refused at once, so that no write is spent on it.
         """
-        self.claimed.would_take = would_take
+        self.claimed.precheck = precheck
 
     def mint(self):
         """Return a fresh key bound to this process.
@@ -158,7 +158,7 @@
             return await self.home.run(call, home, dispatch)
         return await self.home.forward(call, home)
 
-    async def forwarded(self, call, peer):
+    async def handle_forwarded(self, call, peer):
         """Run or answer a call that a peer forwarded to this daemon.
 
         It is never forwarded again, whatever the two daemons believe of the
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
@@ -15,7 +15,7 @@
         Its doors and supervisors need not be there before a source is called.
     """
     return {
-        "calls": partial(asdict, daemon.parts.counters),
+        "calls": partial(asdict, daemon.call_components.counters),
         "admission": daemon.admission.counters.plain,
         "links": daemon.links.counters.as_dict,
         "routing": partial(dict, daemon.router.counters),
@@ -37,7 +37,7 @@
 
 def key_counters(gate):
     """Return what was counted of keys, and of the table of them."""
-    return {**gate.counters, **gate.known.counters}
+    return {**gate.counters, **gate.key_table.counters}
 
 
 def quarantine_counters(daemon):
@@ -50,7 +50,7 @@
 
 def account_counters(daemon):
     """Return what was counted of keys, and of tokens taken and granted."""
-    parts = daemon.authenticator, daemon.token_asking, daemon.limit_keeper
+    parts = daemon.authenticator, daemon.owner_limiter, daemon.limit_owner
     return {name: count for part in parts for name, count in part.counters.items()}
 
 
