--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/confirming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/confirming.py
@@ -20,7 +20,7 @@
 MAX_READER_SHARE = 0.4
 """Share after which every reader renews its confirmation."""
 JITTER_SHARE = 0.1
-"""Share over which the renewals of all other daemons are spread."""
+"""Share over which the renewals of daemons that are no readers are spread."""
 SAFETY_SECONDS = 0.1
 """How long before the maximum staleness a confirmation counts as expired."""
 REFRESH_SECONDS = 0.25
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/exchange.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/exchange.py
@@ -135,7 +135,7 @@
         unknown, pages = [], []
         for bucket, theirs in decode_fingerprints(rest):
             own = self.live_by_fingerprint(bucket)
-            missing = [index for index, mark in enumerate(theirs) if mark not in own]
+            missing = [index for index, key in enumerate(theirs) if key not in own]
             records = self.missing_records(bucket, own, set(theirs), bool(missing))
             size += len(records)
             if compared and size > PAGE_BYTES:
@@ -157,7 +157,7 @@
 
     def missing_records(self, bucket, own, theirs, with_dead):
         """Return the encoded records of a bucket that a peer lacks."""
-        records = [encode_full(own[mark]) for mark in own.keys() - theirs]
+        records = [encode_full(own[key]) for key in own.keys() - theirs]
         if with_dead:
             records += [
                 encode_short(member)
@@ -199,7 +199,7 @@
         (bucket,) = NUMBER.unpack_from(answer)
         if bucket <= start:
             raise ProtocolError(
-                f"member page from bucket {start} on ends before bucket {bucket}"
+                f"member page from bucket {start} on continues at bucket {bucket}"
             )
         complete = start == 0 and bucket == BUCKETS
         self.apply_records(answer, NUMBER.size, complete)
@@ -322,8 +322,8 @@
             raise ProtocolError(
                 f"fingerprints of bucket {bucket}; there are {BUCKETS} buckets"
             )
-        marks = struct.unpack_from(f"!{count}I", content, offset + PAIR.size)
-        pairs.append((bucket, marks))
+        fingerprints = struct.unpack_from(f"!{count}I", content, offset + PAIR.size)
+        pairs.append((bucket, fingerprints))
         offset += PAIR.size + count * FINGERPRINT.size
     return pairs
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
@@ -110,7 +110,7 @@
     def known_upstream_count(self, service):
         """Return how many known members announce a service.
 
-        Dead members count until they are forgotten: a daemon that is merely
+        Dead members count until they are evicted: a daemon that is merely
         cut off still uses its share of a budget that all daemons share.
         """
         members = self.table.members.values()
