--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/peers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/peers.py
@@ -247,7 +247,7 @@
         else:
             self.dialler.seek(link.member)
 
-    def on_doubt(self, callback):
+    def on_unresponsive(self, callback):
         """Call back with a peer's name and whether its link is in doubt."""
         self.doubt_callbacks.append(callback)
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -122,7 +122,7 @@
         )
         self.configuration.on_change(self.policy_changed)
         self.links.on_leaving(self.membership.mark_leaving)
-        self.links.on_doubt(self.router.set_link_unresponsive)
+        self.links.on_unresponsive(self.router.set_link_unresponsive)
 
     def build_quarantine(self):
         """Make what quarantines requests that crash targets."""
--- a/tests/unit/daemon/test_links_silence.py
+++ b/tests/unit/daemon/test_links_silence.py
@@ -105,7 +105,7 @@
         timing = {"link_heartbeat_ms": 20, "link_doubt_ms": 100}
         self.a = await self.started(make_links("a", link_silence_ms=1_500, **timing))
         self.doubts = asyncio.Queue()
-        self.a.on_doubt(lambda *doubt: self.doubts.put_nowait(doubt))
+        self.a.on_unresponsive(lambda *doubt: self.doubts.put_nowait(doubt))
 
     async def test_a_silent_link_is_in_doubt_until_it_is_given_up(self):
         """A quarter of the calls of a service hung for two seconds.
