--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -58,7 +58,7 @@
         self.idle = asyncio.Event()
         self.idle.set()
 
-    async def enter(self, incoming):
+    async def handle_request(self, incoming):
         """Answer a caller's request.
 
         Parameters
@@ -283,7 +283,7 @@
             self.components.latencies.request_ended(rule.path_key, answer, elapsed)
             self.objectives.note(rule, answer, elapsed)
 
-    async def call_out(self, incoming):
+    async def handle_outgoing(self, incoming):
         """Answer an outgoing call of the target beside this daemon.
 
         Raises
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/caller.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/caller.py
@@ -29,7 +29,7 @@
     async def run(self, incoming):
         """Enter the request; a caller has no call to name."""
         incoming.call_token = ""
-        return await self.flow.enter(incoming)
+        return await self.flow.handle_request(incoming)
 
     async def answer_reserved(self, request):
         """Mint a home-bound key."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
@@ -88,10 +88,10 @@
 class CallFlow(Protocol):
     """Takes what comes in; both methods are cancelled with the client."""
 
-    async def enter(self, incoming: Incoming) -> Answer:
+    async def handle_request(self, incoming: Incoming) -> Answer:
         """Answer a caller's request; raises `CallError`."""
 
-    async def call_out(self, incoming: Incoming) -> Answer:
+    async def handle_outgoing(self, incoming: Incoming) -> Answer:
         """Answer an outgoing call of the own target; raises `CallError`."""
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/target.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/target.py
@@ -30,7 +30,7 @@
 
     async def run(self, incoming):
         """Make an outgoing call."""
-        return await self.flow.call_out(incoming)
+        return await self.flow.handle_outgoing(incoming)
 
     async def answer_reserved(self, request):
         """Announce or withdraw the target."""
--- a/tests/unit/daemon/door_fakes.py
+++ b/tests/unit/daemon/door_fakes.py
@@ -37,7 +37,7 @@
         self.cancelled = asyncio.Event()
         self.started = asyncio.Event()
 
-    async def enter(self, incoming):
+    async def handle_request(self, incoming):
         self.seen.append(incoming)
         self.started.set()
         if self.reply is None:
@@ -48,8 +48,8 @@
             self.cancelled.set()
             raise
 
-    async def call_out(self, incoming):
-        return await self.enter(incoming)
+    async def handle_outgoing(self, incoming):
+        return await self.handle_request(incoming)
 
 
 async def exchange(port, data, end=None):
