--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/authentication.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/authentication.py
@@ -75,7 +75,7 @@
 
         Parameters
         ----------
-        incoming : Incoming
+        incoming : IncomingRequest
         rule : CallRule
 
         Returns
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -63,7 +63,7 @@
 
         Parameters
         ----------
-        incoming : Incoming
+        incoming : IncomingRequest
 
         Returns
         -------
@@ -237,7 +237,7 @@
 
         Parameters
         ----------
-        incoming : Incoming
+        incoming : IncomingRequest
         rule : CallRule
         request_id : str
         identity : Identity or None
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
@@ -7,7 +7,7 @@
 from papayabay_core.calls import Answer, Body
 from papayabay_core.errors import ERROR_ANSWERS, PROBLEM_TYPE, problem_body
 from papayabay_daemon._internal.doors import headers as rules
-from papayabay_daemon._internal.doors.incoming import Incoming, bad_request
+from papayabay_daemon._internal.doors.incoming import IncomingRequest, bad_request
 
 MAX_DEADLINE_MS = 3_600_000
 MAX_TOKEN_CHARS = 255
@@ -33,7 +33,7 @@
             BAD_REQUEST.
         """
         control = fields.noted
-        return Incoming(
+        return IncomingRequest(
             service=read_service(control),
             method=method,
             path=path,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Incoming:
+class IncomingRequest:
     """One request as a door received it.
 
     Attributes
@@ -70,7 +70,7 @@
     names: rules.HeaderNames
     reserved_prefix: str
 
-    def read(self, method: str, path: str, fields: rules.Fields) -> Incoming:
+    def read(self, method: str, path: str, fields: rules.Fields) -> IncomingRequest:
         """Return a request without its body; raises `CallError`."""
 
     def render_error(
@@ -88,10 +88,10 @@
 class CallFlow(Protocol):
     """Takes what comes in; both methods are cancelled with the client."""
 
-    async def handle_request(self, incoming: Incoming) -> Answer:
+    async def handle_request(self, incoming: IncomingRequest) -> Answer:
         """Answer a caller's request; raises `CallError`."""
 
-    async def handle_outgoing(self, incoming: Incoming) -> Answer:
+    async def handle_outgoing(self, incoming: IncomingRequest) -> Answer:
         """Answer an outgoing call of the own target; raises `CallError`."""
 
 
@@ -129,7 +129,7 @@
 
 
 async def read_incoming(request, limits, dialect):
-    """Return a request as `Incoming`, and its body's state.
+    """Return a request as `IncomingRequest`, and its body's state.
 
     Parameters
     ----------
@@ -139,7 +139,7 @@
 
     Returns
     -------
-    Incoming, IncomingBody
+    IncomingRequest, IncomingBody
 
     Raises
     ------
--- a/packages/papayabay-daemon/src/papayabay_daemon/adapters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/adapters.py
@@ -13,7 +13,7 @@
 )
 from papayabay_daemon._internal.doors.incoming import (
     CallerDialect,
-    Incoming,
+    IncomingRequest,
     bad_request,
 )
 from papayabay_daemon._internal.doors.protocol import Door
@@ -36,7 +36,7 @@
     "CallerDialect",
     "Door",
     "HeaderNames",
-    "Incoming",
+    "IncomingRequest",
     "TargetDialect",
     "Verdict",
     "VersionWatch",
--- a/tests/unit/daemon/account_support.py
+++ b/tests/unit/daemon/account_support.py
@@ -9,7 +9,7 @@
 from papayabay_core.policy.rules import Policy
 from papayabay_daemon._internal.accounts import Authenticator
 from papayabay_daemon._internal.doors.headers import end_to_end
-from papayabay_daemon._internal.doors.incoming import Incoming
+from papayabay_daemon._internal.doors.incoming import IncomingRequest
 from tests.lib.cluster_fakes import seeded
 
 KEYS = {"small": "key-of-small", "large": "key-of-large"}
@@ -60,7 +60,7 @@
 def incoming_with(*fields, dialect, path="/read"):
     """Return a request read from raw header fields."""
     request = dialect.read("GET", path, end_to_end(fields, dialect.names))
-    assert isinstance(request, Incoming)
+    assert isinstance(request, IncomingRequest)
     return request
 
 
