--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/authentication.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/accounts/authentication.py
@@ -7,7 +7,7 @@
 from papayabay_core.account_keys import digest_key
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.policy.accounts import Account
-from papayabay_daemon._internal.doors.headers import AUTHORIZATION_HEADER, without
+from papayabay_daemon._internal.doors.headers import AUTHORIZATION_HEADER, without_field
 
 BEARER = re.compile(r"bearer +([\x21-\x7e]{1,512}) *", re.IGNORECASE)
 COUNTED = ("accepted", "missing", "malformed", "unknown", "revoked", "stale")
@@ -94,7 +94,7 @@
         authorization = incoming.authorization
         if authorization is None:
             return None if rule.public else self.refuse("missing")
-        incoming.headers = without(incoming.headers, AUTHORIZATION_HEADER)
+        incoming.headers = without_field(incoming.headers, AUTHORIZATION_HEADER)
         found = BEARER.fullmatch(authorization)
         if found is None:
             return None if rule.public else self.refuse("malformed")
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
@@ -32,12 +32,12 @@
         CallError
             BAD_REQUEST.
         """
-        control = fields.noted
+        control = fields.inspected
         return IncomingRequest(
             service=read_service(control),
             method=method,
             path=path,
-            headers=[*fields.kept, rules.VIA],
+            headers=[*fields.forwarded, rules.VIA],
             body=None,
             idempotency_key=read_token(control, rules.IDEMPOTENCY_HEADER),
             deadline_ms=read_deadline(control),
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/headers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/headers.py
@@ -66,13 +66,13 @@
         As it came.
     key : str
         In lower case.
-    ends_here : bool
+    is_stripped : bool
         Whether the field is left out of what travels on.
     """
 
     text: str
     key: str
-    ends_here: bool
+    is_stripped: bool
 
 
 class HeaderNames:
@@ -80,19 +80,19 @@
 
     Parameters
     ----------
-    noted : frozenset of str
+    inspected : frozenset of str
         Lower-case names of fields that this hop reads.
     single : frozenset of str
         Those that must not be repeated.
-    ends_here : callable
+    is_stripped : callable
         Takes a lower-case name; says whether the field is left out of what
         travels on.
     """
 
-    def __init__(self, noted, single, ends_here):
-        self.noted = noted
+    def __init__(self, inspected, single, is_stripped):
+        self.inspected = inspected
         self.single = single
-        self.ends_here = ends_here
+        self.is_stripped = is_stripped
         # Messages repeat the same few names. Long names bypass the cache,
         # which keeps what strangers can put into it small.
         self.classify_known = lru_cache(maxsize=KNOWN_NAMES)(self.classify)
@@ -101,7 +101,7 @@
         """Return a raw name as `FieldName`."""
         text = raw_name.decode(*TEXT)
         key = text.lower()
-        return FieldName(text, key, self.ends_here(key))
+        return FieldName(text, key, self.is_stripped(key))
 
 
 def own_field_ends_here(key):
@@ -119,20 +119,20 @@
 
     Attributes
     ----------
-    kept : list of (str, str)
+    forwarded : list of (str, str)
         Those that travel on, in order, names and values as they came.
-    noted : dict of str to str
+    inspected : dict of str to str
         Those that this hop reads, by lower-case name.
     connection : list of str
         Values of Connection fields.
     """
 
-    kept: list[tuple[str, str]] = field(default_factory=list)
-    noted: dict[str, str] = field(default_factory=dict)
+    forwarded: list[tuple[str, str]] = field(default_factory=list)
+    inspected: dict[str, str] = field(default_factory=dict)
     connection: list[str] = field(default_factory=list)
 
 
-def end_to_end(raw_headers, names=OWN_NAMES):
+def filter_headers(raw_headers, names=OWN_NAMES):
     """Return a message's header fields, those that end here left out.
 
     Hop-by-hop fields (RFC 9110, section 7.6.1), those that a Connection
@@ -162,12 +162,12 @@
         value = raw_value.decode(*TEXT)
         if "\n" in value or "\r" in value or "\0" in value:
             raise ValueError(f"{name.text} has a line break or NUL")
-        if name.key in names.noted:
-            if name.key in fields.noted and name.key in names.single:
+        if name.key in names.inspected:
+            if name.key in fields.inspected and name.key in names.single:
                 raise ValueError(f"{name.text} is given more than once")
-            fields.noted[name.key] = value
-        if not name.ends_here:
-            fields.kept.append((name.text, value))
+            fields.inspected[name.key] = value
+        if not name.is_stripped:
+            fields.forwarded.append((name.text, value))
         elif name.key == "connection":
             fields.connection.append(value)
     if fields.connection:
@@ -179,10 +179,12 @@
     """Leave out the fields that a Connection field names."""
     tokens = ",".join(fields.connection).split(",")
     named = {token.strip().lower() for token in tokens} - NEVER_DROPPED
-    fields.kept = [item for item in fields.kept if item[0].lower() not in named]
+    fields.forwarded = [
+        item for item in fields.forwarded if item[0].lower() not in named
+    ]
 
 
-def without(headers, name):
+def without_field(headers, name):
     """Return the fields but those of one lower-case name."""
     return [item for item in headers if item[0].lower() != name]
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
@@ -113,7 +113,7 @@
     if size > limits.header_bytes:
         raise CallError(ErrorKind.HEADERS_TOO_LARGE)
     try:
-        return rules.end_to_end(raw_headers, names)
+        return rules.filter_headers(raw_headers, names)
     except ValueError as error:
         raise bad_request(str(error)) from None
 
@@ -152,8 +152,8 @@
     incoming = dialect.read(request.method, read_path(request), fields)
     state = IncomingBody(request, limits)
     incoming.body = await state.read()
-    if incoming.body.whole and "content-length" in fields.noted:
+    if incoming.body.whole and "content-length" in fields.inspected:
         # Recomputed from the body at hand; a streamed body keeps the length
         # that it was announced with, since it passes on unchanged.
-        incoming.headers = rules.without(incoming.headers, "content-length")
+        incoming.headers = rules.without_field(incoming.headers, "content-length")
     return incoming, state
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -4,7 +4,7 @@
 
 from papayabay_core.calls import Answer
 from papayabay_core.errors import CallError, ErrorKind
-from papayabay_daemon._internal.doors.headers import end_to_end, without
+from papayabay_daemon._internal.doors.headers import filter_headers, without_field
 from papayabay_daemon._internal.lifetime.timeouts import CallTimeout
 from papayabay_daemon._internal.quarantine.fingerprint import Fingerprints
 from papayabay_daemon._internal.target.cancellation import CancelNotices
@@ -149,7 +149,7 @@
             raise CallError(ErrorKind.TARGET_LOST, f"a {status} that can't be its own")
         # Decoded before the body, so that a field that can't travel on ends
         # the call at once.
-        headers = end_to_end(message.head.fields, self.dialect.names).kept
+        headers = filter_headers(message.head.fields, self.dialect.names).forwarded
         body = exchange.body(call.remaining)
         if not body.whole:
             self.follow(body.rest, call, call_token, pool)
@@ -159,7 +159,7 @@
         if message.head.is_framed or not exchange.connection.closed:
             self.crash_detector.answered(call)
         if call.method != "HEAD" and status != NOT_MODIFIED:
-            headers = without(headers, "content-length")
+            headers = without_field(headers, "content-length")
         return Answer(status, headers, body)
 
     async def receive_own(self, exchange, call):
--- a/tests/unit/daemon/account_support.py
+++ b/tests/unit/daemon/account_support.py
@@ -8,7 +8,7 @@
 from papayabay_core.policy.document import PolicyDocument
 from papayabay_core.policy.rules import Policy
 from papayabay_daemon._internal.accounts import Authenticator
-from papayabay_daemon._internal.doors.headers import end_to_end
+from papayabay_daemon._internal.doors.headers import filter_headers
 from papayabay_daemon._internal.doors.incoming import IncomingRequest
 from tests.lib.cluster_fakes import seeded
 
@@ -59,7 +59,7 @@
 
 def incoming_with(*fields, dialect, path="/read"):
     """Return a request read from raw header fields."""
-    request = dialect.read("GET", path, end_to_end(fields, dialect.names))
+    request = dialect.read("GET", path, filter_headers(fields, dialect.names))
     assert isinstance(request, IncomingRequest)
     return request
 
--- a/tests/unit/daemon/test_headers.py
+++ b/tests/unit/daemon/test_headers.py
@@ -3,25 +3,25 @@
 from papayabay_daemon._internal.doors import headers as rules
 
 
-def kept(fields):
+def forwarded(fields):
     raw = [(name.encode(), value.encode()) for name, value in fields]
-    return rules.end_to_end(raw).kept
+    return rules.filter_headers(raw).forwarded
 
 
 class EndToEndTests(unittest.TestCase):
     def test_order_case_and_repetition_are_kept(self):
         fields = [("X-b", "1"), ("Set-Cookie", "a"), ("x-B", "2"), ("Set-Cookie", "b")]
-        self.assertEqual(kept(fields), fields)
+        self.assertEqual(forwarded(fields), fields)
 
     def test_hop_by_hop_fields_end_here(self):
         names = ["TE", "Trailer", "Transfer-Encoding", "Upgrade", "Keep-Alive"]
         names += ["Proxy-Authorization", "Proxy-Connection", "Host", "Expect"]
         fields = [(name, "x") for name in names]
-        self.assertEqual(kept([*fields, ("X-A", "1")]), [("X-A", "1")])
+        self.assertEqual(forwarded([*fields, ("X-A", "1")]), [("X-A", "1")])
 
     def test_fields_named_by_connection_end_here(self):
         fields = [("X-A", "1"), ("X-Hop", "2"), ("connection", "close, x-hop")]
-        self.assertEqual(kept(fields), [("X-A", "1")])
+        self.assertEqual(forwarded(fields), [("X-A", "1")])
 
     def test_connection_cannot_drop_the_idempotency_key(self):
         """A key vanished on the way.
@@ -30,11 +30,11 @@
         would be dropped, and the request run again without protection.
         """
         fields = [("Idempotency-Key", "k"), ("Connection", "idempotency-key")]
-        self.assertEqual(kept(fields), [("Idempotency-Key", "k")])
+        self.assertEqual(forwarded(fields), [("Idempotency-Key", "k")])
 
     def test_control_fields_end_here(self):
         names = ["Papayabay-Importance", "PAPAYABAY-CREDITS", "papayabay-rank"]
-        self.assertEqual(kept([(name, "0") for name in names]), [])
+        self.assertEqual(forwarded([(name, "0") for name in names]), [])
 
     def test_a_line_break_within_a_field_is_refused(self):
         """A target's answer grew a field that it did not send.
@@ -44,9 +44,9 @@
         """
         for mark in "\n\r\0":
             with self.subTest(mark), self.assertRaises(ValueError):
-                kept([("X-A", f"1{mark}Set-Cookie: a=b")])
+                forwarded([("X-A", f"1{mark}Set-Cookie: a=b")])
 
     def test_names_cached_stay_small(self):
         rules.classify_known.cache_clear()
-        kept([("X" * 65, "1")])
+        forwarded([("X" * 65, "1")])
         self.assertEqual(rules.classify_known.cache_info().currsize, 0)
--- a/tests/unit/platform/test_accounts.py
+++ b/tests/unit/platform/test_accounts.py
@@ -7,7 +7,7 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.importance import Importance
 from papayabay_core.models import InvalidValues
-from papayabay_daemon._internal.doors.headers import end_to_end
+from papayabay_daemon._internal.doors.headers import filter_headers
 from papayabay_daemon._internal.target.announcement import Announcement
 from papayabay_platform.caller_dialect import PlatformCallerDialect
 from papayabay_platform.configuration import OperatorConfiguration
@@ -79,7 +79,7 @@
     def read(self, *fields):
         dialect = PlatformCallerDialect("svc-0")
         raw = [(b"Host", b"h.example"), (b"X-Papayabay-Request-Id", b"9c41"), *fields]
-        return dialect.read("GET", "/read/7", end_to_end(raw, dialect.names))
+        return dialect.read("GET", "/read/7", filter_headers(raw, dialect.names))
 
     def test_the_tenant_is_never_taken_from_outside(self):
         """Guards against a client that names a tenant itself, in any case."""
--- a/tests/unit/platform/test_caller_dialect.py
+++ b/tests/unit/platform/test_caller_dialect.py
@@ -2,7 +2,7 @@
 
 from papayabay_core.calls import Answer
 from papayabay_core.errors import ERROR_ANSWERS, CallError, Effect, ErrorKind
-from papayabay_daemon._internal.doors.headers import end_to_end
+from papayabay_daemon._internal.doors.headers import filter_headers
 from papayabay_platform.caller_dialect import PlatformCallerDialect
 
 PROMISES = {408, 421, 429, 503}
@@ -22,7 +22,7 @@
         self.dialect = PlatformCallerDialect("svc-a")
 
     def read(self, raw):
-        fields = end_to_end(raw, self.dialect.names)
+        fields = filter_headers(raw, self.dialect.names)
         return self.dialect.read("GET", "/leny/2f?x=1", fields)
 
     def test_request(self):
--- a/tests/unit/platform/test_request_identity.py
+++ b/tests/unit/platform/test_request_identity.py
@@ -7,7 +7,7 @@
 from papayabay_core.policy.document import PolicyDocument
 from papayabay_core.policy.rules import Policy
 from papayabay_daemon._internal.calls.flow import CallFlow
-from papayabay_daemon._internal.doors.headers import end_to_end
+from papayabay_daemon._internal.doors.headers import filter_headers
 from papayabay_daemon._internal.quarantine import Fingerprints
 from papayabay_platform.caller_dialect import PlatformCallerDialect
 from tests.lib.cluster_fakes import make_settings
@@ -17,7 +17,7 @@
     """Return the call that a client's request becomes beside a service."""
     dialect = PlatformCallerDialect(service)
     raw = [(b"Host", b"h.example"), (b"X-Papayabay-Request-Id", request_id)]
-    incoming = dialect.read("GET", "/read/7", end_to_end(raw, dialect.names))
+    incoming = dialect.read("GET", "/read/7", filter_headers(raw, dialect.names))
     incoming.body = Body()
     policy = Policy(PolicyDocument.model_validate({"services": {"svc-1": {}}}), 1)
     incoming.service = "svc-1"
