--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/caller.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/caller.py
@@ -1,10 +1,10 @@
 """The door for callers."""
 
 from papayabay_daemon._internal.doors.calls import CallDoor
-from papayabay_daemon._internal.doors.dialect import OwnCallerDialect
+from papayabay_daemon._internal.doors.dialect import DefaultCallerDialect
 from papayabay_daemon._internal.doors.response import json_answer
 
-KEYS_PATH = OwnCallerDialect.reserved_prefix + "keys"
+KEYS_PATH = DefaultCallerDialect.reserved_prefix + "keys"
 
 
 class CallerDoor(CallDoor):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
@@ -18,7 +18,7 @@
 REQUEST_HEADER = "papayabay-request"
 
 
-class OwnCallerDialect:
+class DefaultCallerDialect:
     """The `CallerDialect` of papayabay's own header fields."""
 
     names = rules.OWN_NAMES
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/protocol.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/protocol.py
@@ -5,7 +5,7 @@
 import logbook
 
 from papayabay_core.errors import CallError, ErrorKind
-from papayabay_daemon._internal.doors.dialect import OwnCallerDialect
+from papayabay_daemon._internal.doors.dialect import DefaultCallerDialect
 from papayabay_daemon._internal.doors.response import DoorResponse
 from papayabay_daemon._internal.http.serving import ServerConnection
 
@@ -33,7 +33,7 @@
         self.host = host
         self.port = port
         self.limits = limits
-        self.dialect = dialect or OwnCallerDialect()
+        self.dialect = dialect or DefaultCallerDialect()
         self.stopping = False
         self.server = None
         self.connections = set()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/target.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/target.py
@@ -3,13 +3,13 @@
 from papayabay_core.models import InvalidValues, Model, explain_faults
 from papayabay_daemon._internal.doors.body import read_message
 from papayabay_daemon._internal.doors.calls import CallDoor
-from papayabay_daemon._internal.doors.dialect import OwnCallerDialect
+from papayabay_daemon._internal.doors.dialect import DefaultCallerDialect
 from papayabay_daemon._internal.doors.incoming import bad_request
 from papayabay_daemon._internal.doors.response import json_answer
 from papayabay_daemon._internal.target.announcement import AnnounceMessage
 
-ANNOUNCE_PATH = OwnCallerDialect.reserved_prefix + "announce"
-WITHDRAW_PATH = OwnCallerDialect.reserved_prefix + "withdraw"
+ANNOUNCE_PATH = DefaultCallerDialect.reserved_prefix + "announce"
+WITHDRAW_PATH = DefaultCallerDialect.reserved_prefix + "withdraw"
 
 
 class TargetDoor(CallDoor):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -9,7 +9,7 @@
 from papayabay_daemon._internal.quarantine.fingerprint import Fingerprints
 from papayabay_daemon._internal.target.cancellation import CancelNotices
 from papayabay_daemon._internal.target.crash_detector import CrashDetector
-from papayabay_daemon._internal.target.dialect import OwnTargetDialect, Verdict
+from papayabay_daemon._internal.target.dialect import DefaultTargetDialect, Verdict
 from papayabay_daemon._internal.target.exchange import Exchange
 from papayabay_daemon._internal.target.pool import TargetPool
 
@@ -37,7 +37,7 @@
     """
 
     def __init__(self, settings, registry, dialect=None):
-        self.dialect = dialect or OwnTargetDialect()
+        self.dialect = dialect or DefaultTargetDialect()
         self.limits = settings.limits
         self.registry = registry
         self.pool = None
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
@@ -80,7 +80,7 @@
         """
 
 
-class OwnTargetDialect:
+class DefaultTargetDialect:
     """The `TargetDialect` of papayabay's own header fields."""
 
     names = rules.OWN_NAMES
--- a/packages/papayabay-daemon/src/papayabay_daemon/environment.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/environment.py
@@ -12,9 +12,12 @@
 from papayabay_core.platform import HttpObjectStore, HttpTableService
 from papayabay_daemon._internal.configuration.store import StoreReader
 from papayabay_daemon._internal.doors import TargetDoor
-from papayabay_daemon._internal.doors.dialect import OwnCallerDialect
+from papayabay_daemon._internal.doors.dialect import DefaultCallerDialect
 from papayabay_daemon._internal.doors.incoming import CallerDialect
-from papayabay_daemon._internal.target.dialect import OwnTargetDialect, TargetDialect
+from papayabay_daemon._internal.target.dialect import (
+    DefaultTargetDialect,
+    TargetDialect,
+)
 
 
 class Listener(Protocol):
@@ -81,8 +84,8 @@
         table=table,
         versions=ConfigurationLog(table, objects),
         version_reader=StoreReader,
-        caller_dialect=OwnCallerDialect(),
-        target_dialect=OwnTargetDialect(),
+        caller_dialect=DefaultCallerDialect(),
+        target_dialect=DefaultTargetDialect(),
         listeners=own_listeners,
         close=close,
         follow=lambda settings: None,
--- a/tests/unit/daemon/test_account_authentication.py
+++ b/tests/unit/daemon/test_account_authentication.py
@@ -11,7 +11,7 @@
 from papayabay_core.importance import Importance
 from papayabay_core.policy.document import PolicyDocument, validate_policy
 from papayabay_core.policy.rules import Policy
-from papayabay_daemon._internal.doors.dialect import OwnCallerDialect
+from papayabay_daemon._internal.doors.dialect import DefaultCallerDialect
 from tests.unit.daemon.account_support import (
     KEYS,
     SetFreshness,
@@ -26,7 +26,7 @@
 
 def authenticated(policy, *fields, path="/read", freshness=None):
     """Return the identity of a request, and the request."""
-    incoming = incoming_with(HOST, *fields, dialect=OwnCallerDialect(), path=path)
+    incoming = incoming_with(HOST, *fields, dialect=DefaultCallerDialect(), path=path)
     authenticator = authenticator_of(policy, freshness)
     authenticating = authenticator.authenticate(incoming, rule_of(policy, path))
     return asyncio.run(authenticating), incoming
@@ -90,7 +90,7 @@
         """Guards against a request that acts for two accounts at once."""
         fields = (HOST, bearer(KEYS["small"]), bearer(KEYS["large"]))
         with self.assertRaises(ValueError):
-            incoming_with(*fields, dialect=OwnCallerDialect())
+            incoming_with(*fields, dialect=DefaultCallerDialect())
 
     def test_a_public_path_needs_no_key(self):
         account, _ = authenticated(account_policy(), path="/open")
@@ -158,7 +158,7 @@
 class AnswerTests(unittest.TestCase):
     def test_a_401_says_which_scheme_it_wants(self):
         error = CallError(ErrorKind.UNAUTHENTICATED)
-        answer = OwnCallerDialect().render_error(error)
+        answer = DefaultCallerDialect().render_error(error)
         self.assertIsInstance(answer, Answer)
         self.assertEqual(answer.status, 401)
         self.assertIn(("WWW-Authenticate", "Bearer"), answer.headers)
--- a/tests/unit/daemon/test_account_calls.py
+++ b/tests/unit/daemon/test_account_calls.py
@@ -10,13 +10,13 @@
 from papayabay_daemon._internal.accounts import Identity
 from papayabay_daemon._internal.calls.flow import CallFlow
 from papayabay_daemon._internal.calls.tree import CallTree
-from papayabay_daemon._internal.doors.dialect import OwnCallerDialect
+from papayabay_daemon._internal.doors.dialect import DefaultCallerDialect
 from papayabay_daemon._internal.links.call_frames import (
     decode_call,
     encode_call,
     read_call_frame,
 )
-from papayabay_daemon._internal.target.dialect import OwnTargetDialect
+from papayabay_daemon._internal.target.dialect import DefaultTargetDialect
 from tests.lib.cluster_fakes import make_settings
 from tests.unit.daemon.account_support import (
     KEYS,
@@ -44,7 +44,7 @@
 def request(*fields, **values):
     """Return a request for the one service."""
     host = (b"Host", b"svc")
-    incoming = incoming_with(host, *fields, dialect=OwnCallerDialect())
+    incoming = incoming_with(host, *fields, dialect=DefaultCallerDialect())
     incoming.body = Body()
     for name, value in values.items():
         setattr(incoming, name, value)
@@ -136,11 +136,11 @@
             self.assertEqual(call.account, name)
 
     def test_the_target_is_told_the_account(self):
-        head = OwnTargetDialect().request_head(account_call("small"), "t", None)
+        head = DefaultTargetDialect().request_head(account_call("small"), "t", None)
         self.assertIn(b"\r\nPapayabay-Account: small\r\n", head)
 
     def test_an_anonymous_call_names_none(self):
-        head = OwnTargetDialect().request_head(account_call(""), "t", None)
+        head = DefaultTargetDialect().request_head(account_call(""), "t", None)
         self.assertNotIn(b"account", head.lower())
 
 
