--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
@@ -79,7 +79,7 @@
             row.status, headers, Body(body), error.kind, effect, retry_after_ms=delay_ms
         )
 
-    def closing_fields(self, answer):
+    def final_header_lines(self, answer):
         """Return Via, and what is known of the effect."""
         name, value = rules.VIA
         return f"{name}: {value}\r\n{EFFECT_HEADER}: {answer.effect.value}\r\n"
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
@@ -81,7 +81,7 @@
     ) -> Answer:
         """Return the answer that reports an error to the caller."""
 
-    def closing_fields(self, answer: Answer) -> str:
+    def final_header_lines(self, answer: Answer) -> str:
         """Return the header lines that end the head of each answer."""
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/protocol.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/protocol.py
@@ -49,13 +49,13 @@
         )
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def end_connections(self):
+    def disable_keep_alive(self):
         """End each connection after its next answer."""
         self.stopping = True
 
     async def stop_accepting(self):
         """Take no new connections; open ones end after their next answer."""
-        self.end_connections()
+        self.disable_keep_alive()
         if self.server is not None:
             server, self.server = self.server, None
             server.close()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/response.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/response.py
@@ -146,7 +146,7 @@
             lines.append(f"{name}: {value}\r\n")
         if not dated:
             lines.append(DATE.current())
-        lines.append(self.dialect.closing_fields(answer))
+        lines.append(self.dialect.final_header_lines(answer))
         lines.append(framing)
         if not self.keep_alive:
             lines.append("Connection: close\r\n")
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
@@ -132,7 +132,7 @@
         them to the end.
         """
         daemon = self.daemon
-        daemon.caller_door.end_connections()
+        daemon.caller_door.disable_keep_alive()
         if not daemon.settings.calls.infer_parents:
             await daemon.caller_door.stop_accepting()
         await asyncio.sleep(limits.leaving_grace_ms / 1000)
--- a/tests/unit/daemon/test_http_serving.py
+++ b/tests/unit/daemon/test_http_serving.py
@@ -157,7 +157,7 @@
         reader, writer = await self.connect(gates)
         writer.write(get("/1") + get("/2"))
         await gates.wait_begun("/1", "/2")
-        self.door.end_connections()
+        self.door.disable_keep_alive()
         writer.write(get("/3"))
         await gates.open("/1")
         await gates.open("/2")
