--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -67,12 +67,12 @@
         self.idle = asyncio.Event()
         self.idle.set()
 
-    async def enter(self, incoming):
+    async def handle_request(self, incoming):
         """Answer a caller's request.
 
         Parameters
         ----------
-        incoming : Incoming
+        incoming : IncomingRequest
 
         Returns
         -------
@@ -259,7 +259,7 @@
 
         Parameters
         ----------
-        incoming : Incoming
+        incoming : IncomingRequest
         rule : CallRule
         request_id : str
         identity : Identity or None
@@ -305,7 +305,7 @@
             self.components.latencies.request_ended(rule.path_key, answer, elapsed)
             self.objectives.note(rule, answer, elapsed)
 
-    async def call_out(self, incoming):
+    async def handle_outgoing(self, incoming):
         """Answer an outgoing call of the target beside this daemon.
 
         Raises
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
@@ -7,7 +7,7 @@
 from papayabay_core.calls import Answer, Body
 from papayabay_core.errors import ERROR_ANSWERS, PROBLEM_TYPE, problem_body
 from papayabay_daemon._internal.doors import headers as rules
-from papayabay_daemon._internal.doors.incoming import Incoming, bad_request
+from papayabay_daemon._internal.doors.incoming import IncomingRequest, bad_request
 
 MAX_DEADLINE_MS = 3_600_000
 MAX_TOKEN_CHARS = 255
@@ -18,7 +18,7 @@
 REQUEST_HEADER = "papayabay-request"
 
 
-class OwnCallerDialect:
+class DefaultCallerDialect:
     """The `CallerDialect` of papayabay's own header fields."""
 
     names = rules.OWN_NAMES
@@ -32,12 +32,12 @@
         CallError
             BAD_REQUEST.
         """
-        control = fields.noted
-        return Incoming(
+        control = fields.inspected
+        return IncomingRequest(
             service=read_service(control),
             method=method,
             path=path,
-            headers=[*fields.kept, rules.VIA],
+            headers=[*fields.forwarded, rules.VIA],
             body=None,
             idempotency_key=read_token(control, rules.IDEMPOTENCY_HEADER),
             deadline_ms=read_deadline(control),
@@ -79,7 +79,7 @@
             row.status, headers, Body(body), error.kind, effect, retry_after_ms=delay_ms
         )
 
-    def closing_fields(self, answer):
+    def final_header_lines(self, answer):
         """Return Via, and what is known of the effect."""
         name, value = rules.VIA
         return f"{name}: {value}\r\n{EFFECT_HEADER}: {answer.effect.value}\r\n"
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Incoming:
+class IncomingRequest:
     """One request as a door received it.
 
     Attributes
@@ -70,7 +70,7 @@
     names: rules.HeaderNames
     reserved_prefix: str
 
-    def read(self, method: str, path: str, fields: rules.Fields) -> Incoming:
+    def read(self, method: str, path: str, fields: rules.Fields) -> IncomingRequest:
         """Return a request without its body; raises `CallError`."""
 
     def render_error(
@@ -81,17 +81,17 @@
     ) -> Answer:
         """Return the answer that reports an error to the caller."""
 
-    def closing_fields(self, answer: Answer) -> str:
+    def final_header_lines(self, answer: Answer) -> str:
         """Return the header lines that end the head of each answer."""
 
 
 class CallFlow(Protocol):
     """Takes what comes in; both methods are cancelled with the client."""
 
-    async def enter(self, incoming: Incoming) -> Answer:
+    async def handle_request(self, incoming: IncomingRequest) -> Answer:
         """Answer a caller's request; raises `CallError`."""
 
-    async def call_out(self, incoming: Incoming) -> Answer:
+    async def handle_outgoing(self, incoming: IncomingRequest) -> Answer:
         """Answer an outgoing call of the own target; raises `CallError`."""
 
 
@@ -113,7 +113,7 @@
     if size > limits.header_bytes:
         raise CallError(ErrorKind.HEADERS_TOO_LARGE)
     try:
-        return rules.end_to_end(raw_headers, names)
+        return rules.filter_headers(raw_headers, names)
     except ValueError as error:
         raise bad_request(str(error)) from None
 
@@ -129,7 +129,7 @@
 
 
 async def read_incoming(request, limits, dialect):
-    """Return a request as `Incoming`, and its body's state.
+    """Return a request as `IncomingRequest`, and its body's state.
 
     Parameters
     ----------
@@ -139,7 +139,7 @@
 
     Returns
     -------
-    Incoming, IncomingBody
+    IncomingRequest, IncomingBody
 
     Raises
     ------
@@ -152,8 +152,8 @@
     incoming = dialect.read(request.method, read_path(request), fields)
     state = IncomingBody(request, limits)
     incoming.body = await state.read()
-    if incoming.body.whole and "content-length" in fields.noted:
+    if incoming.body.whole and "content-length" in fields.inspected:
         # Recomputed from the body at hand; a streamed body keeps the length
         # that it was announced with, since it passes on unchanged.
-        incoming.headers = rules.without(incoming.headers, "content-length")
+        incoming.headers = rules.without_field(incoming.headers, "content-length")
     return incoming, state
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/protocol.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/protocol.py
@@ -5,7 +5,7 @@
 import logbook
 
 from papayabay_core.errors import CallError, ErrorKind
-from papayabay_daemon._internal.doors.dialect import OwnCallerDialect
+from papayabay_daemon._internal.doors.dialect import DefaultCallerDialect
 from papayabay_daemon._internal.doors.response import DoorResponse
 from papayabay_daemon._internal.http.serving import ServerConnection
 
@@ -33,7 +33,7 @@
         self.host = host
         self.port = port
         self.limits = limits
-        self.dialect = dialect or OwnCallerDialect()
+        self.dialect = dialect or DefaultCallerDialect()
         self.stopping = False
         self.server = None
         self.connections = set()
@@ -49,13 +49,13 @@
         )
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def end_connections(self):
+    def disable_keep_alive(self):
         """End each connection after its next answer."""
         self.stopping = True
 
     async def stop_accepting(self):
         """Take no new connections; open ones end after their next answer."""
-        self.end_connections()
+        self.disable_keep_alive()
         if self.server is not None:
             server, self.server = self.server, None
             server.close()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -4,12 +4,12 @@
 
 from papayabay_core.calls import Answer
 from papayabay_core.errors import CallError, ErrorKind
-from papayabay_daemon._internal.doors.headers import end_to_end, without
+from papayabay_daemon._internal.doors.headers import filter_headers, without_field
 from papayabay_daemon._internal.lifetime.timeouts import CallTimeout
 from papayabay_daemon._internal.quarantine.fingerprint import Fingerprints
 from papayabay_daemon._internal.target.cancellation import CancelNotices
 from papayabay_daemon._internal.target.crash_detector import CrashDetector
-from papayabay_daemon._internal.target.dialect import OwnTargetDialect, Verdict
+from papayabay_daemon._internal.target.dialect import DefaultTargetDialect, Verdict
 from papayabay_daemon._internal.target.exchange import Exchange
 from papayabay_daemon._internal.target.pool import TargetPool
 
@@ -37,7 +37,7 @@
     """
 
     def __init__(self, settings, registry, dialect=None):
-        self.dialect = dialect or OwnTargetDialect()
+        self.dialect = dialect or DefaultTargetDialect()
         self.limits = settings.limits
         self.registry = registry
         self.pool = None
@@ -151,7 +151,7 @@
             raise CallError(ErrorKind.TARGET_LOST, f"a {status} that can't be its own")
         # Header fields are decoded before the body is read, so that a field
         # that can't be forwarded fails the call at once.
-        headers = end_to_end(message.head.fields, self.dialect.names).kept
+        headers = filter_headers(message.head.fields, self.dialect.names).forwarded
         body = exchange.body(call.remaining)
         if not body.whole:
             self.watch_stream(body.rest, call, call_token, pool)
@@ -161,7 +161,7 @@
         if message.head.is_framed or not exchange.connection.closed:
             self.crash_detector.record_answer(call)
         if call.method != "HEAD" and status != NOT_MODIFIED:
-            headers = without(headers, "content-length")
+            headers = without_field(headers, "content-length")
         return Answer(status, headers, body)
 
     async def receive_matching(self, exchange, call):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
@@ -83,7 +83,7 @@
         """
 
 
-class OwnTargetDialect:
+class DefaultTargetDialect:
     """The `TargetDialect` with papayabay's own header fields."""
 
     names = rules.OWN_NAMES
