--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
@@ -85,7 +85,7 @@
     @property
     def store_reachable(self):
         """Whether the last read of the store went through."""
-        return not self.store.outage.lasts
+        return not self.store.outage.active
 
     def on_change(self, callback):
         """Call back with each policy that comes in force."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
@@ -67,7 +67,7 @@
             self.failed(error)
             return False
         else:
-            self.outage.worked()
+            self.outage.record_success()
         return True
 
     async def confirm(self):
@@ -95,4 +95,4 @@
     def failed(self, error):
         """Count a failure of the store."""
         self.state.counts["store_errors"] += 1
-        self.outage.failed(error)
+        self.outage.record_failure(error)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/watching.py
@@ -105,7 +105,7 @@
         except PlatformError as error:
             self.loaded = False
             self.state.counts["store_errors"] += 1
-            self.outage.failed(error)
+            self.outage.record_failure(error)
             return False
         except PolicyError as error:
             # The store answered, with something that this release can't
@@ -119,7 +119,7 @@
                 self.state.confirm(asked_at)
         self.loaded = True
         self.pause = FIRST_PAUSE_SECONDS
-        self.outage.worked()
+        self.outage.record_success()
         return True
 
     def take(self, configuration):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/membership.py
@@ -325,7 +325,7 @@
             "name_conflicts": self.name_conflicts,
             "members_refused": self.table.refused,
             "exchange_errors": self.joining.exchange_errors,
-            "store_reachable": not self.seeds.outage.lasts,
+            "store_reachable": not self.seeds.outage.active,
             "store_errors": self.seeds.errors,
             "seed_writes": self.seeds.writes,
             "seed_conflicts": self.seeds.conflicts,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/seeds.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/seeds.py
@@ -104,7 +104,7 @@
             rows = await self.table.scan(PREFIX, limit=ROWS_MAX)
         except (PlatformError, TimeoutError) as error:
             return self.failed(error)
-        self.outage.worked()
+        self.outage.record_success()
         return rows
 
     def others(self, rows):
@@ -121,7 +121,7 @@
     def failed(self, error):
         """Count a failure of the store."""
         self.errors += 1
-        self.outage.failed(error)
+        self.outage.record_failure(error)
 
     async def keep(self):
         """Bring the own domain's row up to date; return whether it is.
@@ -135,7 +135,7 @@
                 row = await self.table.get(self.key)
                 value = self.improved(row.value if row else {})
                 if value is None:
-                    self.outage.worked()
+                    self.outage.record_success()
                     return True
                 revision = row.revision if row else 0
                 await self.table.write([Put(self.key, value, expected=revision)])
@@ -146,7 +146,7 @@
                 return False
             else:
                 self.writes += 1
-                self.outage.worked()
+                self.outage.record_success()
                 return True
         return False
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/outage.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/outage.py
@@ -12,23 +12,23 @@
 
     Attributes
     ----------
-    lasts : bool
+    active : bool
         Whether the last access failed.
     """
 
     def __init__(self, log, subject):
         self.log = log
         self.subject = subject
-        self.lasts = False
+        self.active = False
 
-    def failed(self, error):
+    def record_failure(self, error):
         """Note a failure."""
-        if not self.lasts:
-            self.lasts = True
+        if not self.active:
+            self.active = True
             self.log.warning("{} can't be reached: {}", self.subject, error)
 
-    def worked(self):
+    def record_success(self):
         """Note a success."""
-        if self.lasts:
-            self.lasts = False
+        if self.active:
+            self.active = False
             self.log.notice("{} can be reached again", self.subject)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/rows.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/rows.py
@@ -94,13 +94,13 @@
         except (PlatformError, TimeoutError) as error:
             self.failed(error)
             return False
-        self.outage.worked()
+        self.outage.record_success()
         return True
 
     def failed(self, error):
         """Count a failure of the store."""
         self.counters["store_errors"] += 1
-        self.outage.failed(error)
+        self.outage.record_failure(error)
 
     def merge_row(self, row):
         """Merge one row; a malformed one is skipped."""
@@ -173,7 +173,7 @@
         except (PlatformError, TimeoutError) as error:
             self.failed(error)
             return False
-        self.outage.worked()
+        self.outage.record_success()
         return True
 
     async def write(self, fingerprint):
