--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -63,7 +63,7 @@
         """Log what follows a failed attempt, and why."""
         if answer.kind is None and not decision.should_retry:
             return
-        self.components.log.note(
+        self.components.log.record(
             "retry",
             call.request_id,
             outcome=decision.reason,
@@ -100,7 +100,7 @@
         self.components.counters.attempts += 1
         # What is known has to be read before the attempt changes it.
         log = self.components.log
-        known = self.components.router.explain(member, call) if log.is_on else None
+        known = self.components.router.explain(member, call) if log.enabled else None
         self.components.router.started(member, call)
         started = now()
         answer = None
@@ -112,7 +112,7 @@
             elapsed = now() - started
             self.components.router.ended(member, call, answer, elapsed)
             self.components.latencies.attempt_ended(call.path_key, answer, elapsed)
-            log.attempt(call, before.made + 1, known, answer, elapsed)
+            log.record_attempt(call, before.made + 1, known, answer, elapsed)
         account.refund(min(answer.credits_left, granted))
         return answer
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -90,7 +90,7 @@
         elapsed = now() - started
         self.count(rule, answer, elapsed)
         if answer.kind is not None:
-            self.components.log.ended(
+            self.components.log.record_answer(
                 request_id,
                 answer,
                 method=incoming.method,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
@@ -58,7 +58,7 @@
     def refuse(self, call, error):
         """Return the answer to a call that the target never saw."""
         load = self.components.admission.load(call.path_key)
-        self.components.log.note(
+        self.components.log.record(
             "admission",
             call.request_id,
             outcome=error.kind.name.lower(),
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/decision_log.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/decision_log.py
@@ -29,11 +29,11 @@
         self.allowance = Allowance(clock)
 
     @property
-    def is_on(self):
+    def enabled(self):
         """Whether anything is written; inputs need not be gathered if not."""
         return self.writer is not None
 
-    def note(self, decision, call_id, **inputs):
+    def record(self, decision, call_id, **inputs):
         """Write one decision.
 
         Parameters
@@ -45,7 +45,7 @@
         inputs : dict
             What decided it, ages in milliseconds, and the outcome.
         """
-        if not self.is_on or not self.allowance.take():
+        if not self.enabled or not self.allowance.take():
             return
         line = {
             "time": datetime.fromtimestamp(time.time(), UTC),
@@ -60,7 +60,7 @@
             self.writer.dropped = 0
         self.writer.keep(encode_line(line))
 
-    def attempt(self, call, number, upstream, answer, elapsed):
+    def record_attempt(self, call, number, upstream, answer, elapsed):
         """Write where an attempt was sent, by what, and how it ended.
 
         A first attempt that was answered well gets no line: nothing was
@@ -81,7 +81,7 @@
         """
         if number == 1 and answer is not None and is_good(answer):
             return
-        self.note(
+        self.record(
             "attempt",
             call.request_id,
             service=call.service,
@@ -96,9 +96,9 @@
             took_ms=round(elapsed * 1_000, 1),
         )
 
-    def ended(self, call_id, answer, **inputs):
+    def record_answer(self, call_id, answer, **inputs):
         """Write that a request ended with an answer of papayabay's own."""
-        self.note(
+        self.record(
             "answer",
             call_id,
             outcome=outcome_of(answer),
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
@@ -90,7 +90,7 @@
 
     def note(self, call, fingerprint, outcome, crashes):
         """Log why a call was refused."""
-        self.log.note(
+        self.log.record(
             "quarantine",
             call.request_id,
             outcome=outcome,
--- a/tests/unit/daemon/budget_fleet.py
+++ b/tests/unit/daemon/budget_fleet.py
@@ -47,7 +47,7 @@
             quarantine=self,
             admission=self,
             target=self,
-            log=SimpleNamespace(note=lambda *args, **inputs: None),
+            log=SimpleNamespace(record=lambda *args, **inputs: None),
         )
         chains = SimpleNamespace(note=lambda path_key, called: None)
         self.receiver = Receiver(parts, CallTree(), chains, self.budget)
--- a/tests/unit/daemon/test_log_lines.py
+++ b/tests/unit/daemon/test_log_lines.py
@@ -68,10 +68,10 @@
 
     def test_an_attempt_tells_its_inputs_and_its_end(self):
         upstream = {"name": "b", "heard_ms": 12}
-        self.log.attempt(call(), 1, upstream, Answer(500), 0.25)
+        self.log.record_attempt(call(), 1, upstream, Answer(500), 0.25)
         refused = Answer(503, kind=ErrorKind.OVERLOADED)
-        self.log.attempt(call(), 2, upstream, refused, 0.01)
-        self.log.attempt(call(), 3, upstream, None, 0.01)
+        self.log.record_attempt(call(), 2, upstream, refused, 0.01)
+        self.log.record_attempt(call(), 3, upstream, None, 0.01)
         first, second, third = self.lines()
         self.assertEqual((first["request"], first["version"]), ("r1", 7))
         self.assertEqual((first["outcome"], first["took_ms"]), ("answered", 250.0))
@@ -81,15 +81,15 @@
 
     def test_an_ordinary_success_gets_no_line(self):
         """Load: calls that end well at their first attempt, nine in ten."""
-        self.log.attempt(call(), 1, {}, Answer(200), 0.25)
+        self.log.record_attempt(call(), 1, {}, Answer(200), 0.25)
         self.assertEqual(self.lines(), [])
-        self.log.attempt(call(), 2, {}, Answer(200), 0.25)
+        self.log.record_attempt(call(), 2, {}, Answer(200), 0.25)
         self.assertEqual([line["attempt"] for line in self.lines()], [2])
 
     def test_lines_on_requests_are_written_together(self):
         """Load: an overload, with hundreds of refusals a second."""
         for number in range(5):
-            self.log.note("admission", f"r{number}", outcome="overloaded")
+            self.log.record("admission", f"r{number}", outcome="overloaded")
         self.assertEqual(self.drain(), b"")
         self.writer.write("a line of state")
         self.assertEqual(len(self.drain().splitlines()), 6)
@@ -99,18 +99,18 @@
 
         Cause: the line about it could not be encoded.
         """
-        self.log.note("answer", "r\udcff", outcome="overloaded")
+        self.log.record("answer", "r\udcff", outcome="overloaded")
         self.assertEqual(self.lines()[0]["request"], "r\udcff")
 
     def test_a_flood_is_bounded_and_what_is_left_out_is_counted(self):
         flood = int(BURST_LINES) + 50
         for number in range(flood):
-            self.log.note("admission", f"r{number}", outcome="overloaded")
+            self.log.record("admission", f"r{number}", outcome="overloaded")
         self.assertEqual(len(self.lines()), int(BURST_LINES))
         self.clock.time += 1.5 / LINES_PER_SECOND
-        self.log.note("admission", "later", outcome="overloaded")
+        self.log.record("admission", "later", outcome="overloaded")
         (line,) = self.lines()
         self.assertEqual(line["left_out"], 50)
 
     def test_nothing_is_written_without_a_writer(self):
-        DecisionLog().note("attempt", "r1")
+        DecisionLog().record("attempt", "r1")
