--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -281,7 +281,7 @@
         answered[name] = answered.get(name, 0) + 1
         if rule is not None:
             self.components.latencies.request_ended(rule.path_key, answer, elapsed)
-            self.objectives.note(rule, answer, elapsed)
+            self.objectives.record(rule, answer, elapsed)
 
     async def call_out(self, incoming):
         """Answer an outgoing call of the target beside this daemon.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/objectives.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/objectives.py
@@ -68,7 +68,7 @@
                 self.slots[start + outcome] = 0
         self.newest = max(self.newest, current)
 
-    def note(self, outcome, moment):
+    def record(self, outcome, moment):
         """Count one request."""
         self.advance(moment)
         self.slots[(self.newest % self.kept) * len(OUTCOMES) + outcome] += 1
@@ -101,7 +101,7 @@
         self.paths = {}
         self.left_out = 0
 
-    def note(self, rule, answer, elapsed):
+    def record(self, rule, answer, elapsed):
         """Count a request's end.
 
         Parameters
@@ -119,8 +119,8 @@
             return
         outcome = outcome_of(rule.objective, answer, elapsed)
         moment = now()
-        rings.minutes.note(outcome, moment)
-        rings.hours.note(outcome, moment)
+        rings.minutes.record(outcome, moment)
+        rings.hours.record(outcome, moment)
 
     def rings_of(self, path_key):
         """Return a path's rings, or None once too many paths are kept."""
--- a/tests/unit/daemon/test_objectives.py
+++ b/tests/unit/daemon/test_objectives.py
@@ -35,7 +35,7 @@
         self.counters = ObjectiveCounters()
 
     def note(self, answer, elapsed=0.05, rule=RULE):
-        self.counters.note(rule, answer, elapsed)
+        self.counters.record(rule, answer, elapsed)
 
     def total(self, window):
         return self.counters.totals(WINDOWS)["shop/order"][window]
