--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/exposition.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/exposition.py
@@ -17,17 +17,17 @@
     latencies : Latencies
     totals : callable
         Returns numbers that only ever grow, by dotted name.
-    levels : callable
+    gauges : callable
         Returns numbers that rise and fall, by dotted name.
     """
 
-    def __init__(self, settings, latencies, totals, levels):
+    def __init__(self, settings, latencies, totals, gauges):
         metrics = settings.metrics
         super().__init__(metrics.host, metrics.port, settings.limits)
         self.path = metrics.path
         self.latencies = latencies
         self.totals = totals
-        self.levels = levels
+        self.gauges = gauges
 
     async def answer(self, request):
         """Return the metrics."""
@@ -35,5 +35,5 @@
             raise CallError(ErrorKind.UNKNOWN_SERVICE, "only the metrics are here")
         from papayabay_daemon._internal.metrics.text import exposition
 
-        text = exposition(self.latencies, self.totals, self.levels)
+        text = exposition(self.latencies, self.totals, self.gauges)
         return Answer(200, [CONTENT_TYPE], Body(text))
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/text.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/text.py
@@ -30,14 +30,14 @@
     latencies : Latencies
     totals : callable
         Returns numbers that only ever grow, by dotted name.
-    levels : callable
+    gauges : callable
         Returns numbers that rise and fall, by dotted name.
     """
 
-    def __init__(self, latencies, totals, levels):
+    def __init__(self, latencies, totals, gauges):
         self.latencies = latencies
         self.totals = totals
-        self.levels = levels
+        self.gauges = gauges
 
     def collect(self):
         """Yield all levels, counters and histograms.
@@ -46,7 +46,7 @@
         collector keeps a bounded part of it, the few numbers that tell what a
         process decides by must not be what is cut off.
         """
-        yield from families(GaugeMetricFamily, "Level", self.levels())
+        yield from families(GaugeMetricFamily, "Level", self.gauges())
         yield from families(CounterMetricFamily, "Count", self.totals())
         requests, attempts = self.latencies.requests, self.latencies.attempts
         yield histograms("request", "Requests that entered here.", requests)
@@ -74,8 +74,8 @@
     return family
 
 
-def exposition(latencies, totals, levels):
+def exposition(latencies, totals, gauges):
     """Return all metrics as bytes."""
     registry = CollectorRegistry()
-    registry.register(Collector(latencies, totals, levels))
+    registry.register(Collector(latencies, totals, gauges))
     return generate_latest(registry)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
@@ -117,9 +117,9 @@
         text = "\0".join((self.vm, *map(str, crash.process)))
         return hashlib.blake2b(text.encode(), digest_size=CRASH_ID_BYTES).digest()
 
-    def levels(self):
+    def gauges(self):
         """Return the registry's levels, for metrics."""
-        return self.registry.levels()
+        return self.registry.gauges()
 
     def list_entries(self):
         """Return the quarantined requests as plain values."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/registry.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/registry.py
@@ -338,7 +338,7 @@
         pending, self.pending = self.pending, set()
         return pending
 
-    def levels(self):
+    def gauges(self):
         """Return how much is kept, for metrics."""
         at = self.clock()
         held = sum(entry.expires_at > at for entry in self.entries.values())
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
@@ -122,7 +122,7 @@
         }
         return {**self.counters, "arrived_by_class": by_class}
 
-    def levels(self):
+    def gauges(self):
         """Return the state of the budget, for metrics.
 
         Returns
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -225,7 +225,7 @@
         )
         self.listeners = self.environment.listeners(self)
         if settings.metrics.host is not None:
-            sources = self.call_components.latencies, self.metrics.totals, self.levels
+            sources = self.call_components.latencies, self.metrics.totals, self.gauges
             self.listeners.append(MetricsDoor(settings, *sources))
         routes = StatusRoutes(self)
         self.status_door = StatusDoor(settings, routes.reads(), routes.writes())
@@ -259,13 +259,13 @@
         """Return the policy in force."""
         return self.configuration.policy
 
-    def levels(self):
+    def gauges(self):
         """Return what metrics show beside counters, by dotted name."""
-        levels = {
-            "repeats": self.arrivals.levels(),
-            "quarantine": self.quarantine.levels(),
+        gauges = {
+            "repeats": self.arrivals.gauges(),
+            "quarantine": self.quarantine.gauges(),
         }
-        return flatten(levels)
+        return flatten(gauges)
 
     def admission_inputs(self):
         """Return what admission is configured by now."""
--- a/tests/unit/daemon/test_arrival_budget.py
+++ b/tests/unit/daemon/test_arrival_budget.py
@@ -212,7 +212,7 @@
         self.firsts(budget, 100)
         self.allowed(budget, 2, Importance.SHEDDABLE)
         self.allowed(budget, 1)
-        levels = budget.levels()
+        levels = budget.gauges()
         self.assertAlmostEqual(levels.pop("allowed"), 0.9 * (0.1 * 100 + 12))
         expected = {"repeats": 3, "firsts": 100, "sharers": 4, "age_s": WINDOW_S}
         self.assertEqual(levels, expected)
--- a/tests/unit/daemon/test_metrics_exposition.py
+++ b/tests/unit/daemon/test_metrics_exposition.py
@@ -14,8 +14,8 @@
         metrics = MetricsSettings(host="127.0.0.1", port=0, path="/own")
         changed = settings().model_copy(update={"metrics": metrics})
         totals = {"calls.entered": 3}
-        levels = {"repeats.allowed": 4.5}
-        self.door = MetricsDoor(changed, self.latencies, lambda: totals, lambda: levels)
+        gauges = {"repeats.allowed": 4.5}
+        self.door = MetricsDoor(changed, self.latencies, lambda: totals, lambda: gauges)
         await self.door.start()
         self.addAsyncCleanup(self.door.close)
 
