--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -318,7 +318,7 @@
         and the rest are those of the process's start.
         """
         self.settings = settings
-        self.environment.follow(settings)
+        self.environment.apply_settings(settings)
 
     def is_ready(self):
         """Whether callers had better send their requests here."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/environment.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/environment.py
@@ -49,7 +49,7 @@
         else stands beside it, reach it. Called once.
     close : callable
         Returns the coroutine that closes the services.
-    follow : callable
+    apply_settings : callable
         Takes changed settings, to use the store where it is now.
     """
 
@@ -60,7 +60,7 @@
     target_dialect: TargetDialect
     listeners: Callable[[Any], list[Listener]]
     close: Callable[[], Any]
-    follow: Callable[[Any], None]
+    apply_settings: Callable[[Any], None]
 
 
 def own_environment(settings):
@@ -85,7 +85,7 @@
         target_dialect=OwnTargetDialect(),
         listeners=own_listeners,
         close=close,
-        follow=lambda settings: None,
+        apply_settings=lambda settings: None,
     )
 
 
