--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/summed_lines.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/aggregated_log.py
@@ -6,7 +6,7 @@
 NAMES_SHOWN = 3
 
 
-class SummedLine:
+class AggregatedLog:
     """Logs how many things changed in the same way, once a second at most.
 
     When a failure domain is lost, hundreds of members change within a few
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/deaths.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/deaths.py
@@ -2,9 +2,9 @@
 
 import logbook
 
+from papayabay_daemon._internal.aggregated_log import AggregatedLog
 from papayabay_daemon._internal.interfaces import MemberState
 from papayabay_daemon._internal.membership.table import TOMBSTONES_MAX
-from papayabay_daemon._internal.summed_lines import SummedLine
 
 log = logbook.Logger("papayabay.membership")
 
@@ -16,8 +16,8 @@
     """
 
     def __init__(self):
-        self.died = SummedLine(log.warning, "members declared dead")
-        self.came_back = SummedLine(log.notice, "members back")
+        self.died = AggregatedLog(log.warning, "members declared dead")
+        self.came_back = AggregatedLog(log.notice, "members back")
         self.dead = {}
         self.leaving = {}
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/ejection_log.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/ejection_log.py
@@ -2,7 +2,7 @@
 
 import logbook
 
-from papayabay_daemon._internal.summed_lines import SummedLine
+from papayabay_daemon._internal.aggregated_log import AggregatedLog
 
 log = logbook.Logger("papayabay.routing")
 
@@ -11,5 +11,5 @@
     """Logs from the first ejection to the next answer after the last."""
 
     def __init__(self):
-        self.ejected = SummedLine(log.warning, "upstreams left out for failing")
-        self.returned = SummedLine(log.notice, "upstreams answer again")
+        self.ejected = AggregatedLog(log.warning, "upstreams left out for failing")
+        self.returned = AggregatedLog(log.notice, "upstreams answer again")
--- a/tests/unit/daemon/test_state_lines.py
+++ b/tests/unit/daemon/test_state_lines.py
@@ -8,7 +8,7 @@
 import logbook
 
 from papayabay_core.importance import Importance
-from papayabay_daemon._internal import summed_lines
+from papayabay_daemon._internal import aggregated_log
 from papayabay_daemon._internal.admission.overload import QUIET_SECONDS, OverloadLog
 from papayabay_daemon._internal.configuration.version import VersionInForce
 from papayabay_daemon._internal.interfaces import MemberState
@@ -37,7 +37,7 @@
         left before. Cause: a line for each change of a member.
         """
         deaths = DeathLog()
-        with mock.patch.object(summed_lines, "PERIOD_SECONDS", 0.0):
+        with mock.patch.object(aggregated_log, "PERIOD_SECONDS", 0.0):
             deaths.note(member("left", MemberState.LEAVING))
             deaths.note(member("left", MemberState.DEAD))
             for number in range(LOST):
