--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/dispatch.py
@@ -71,7 +71,7 @@
         """Log the retry decision after a failed attempt, with its reason."""
         if answer.kind is None and not decision.should_retry:
             return
-        self.components.log.note(
+        self.components.log.record(
             "retry",
             call.request_id,
             outcome=decision.reason,
@@ -109,7 +109,7 @@
         # Read before the attempt, which changes the router's state.
         log = self.components.log
         explanation = (
-            self.components.router.explain(member, call) if log.is_on else None
+            self.components.router.explain(member, call) if log.enabled else None
         )
         self.components.router.started(member, call)
         started = now()
@@ -122,7 +122,7 @@
             elapsed = now() - started
             self.components.router.ended(member, call, answer, elapsed)
             self.components.latencies.attempt_ended(call.path_key, answer, elapsed)
-            log.attempt(call, previous.made + 1, explanation, answer, elapsed)
+            log.record_attempt(call, previous.made + 1, explanation, answer, elapsed)
         account.refund(min(answer.credits_left, attempt_credits))
         return answer
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -100,7 +100,7 @@
         elapsed = now() - started
         self.count_answer(rule, answer, elapsed)
         if answer.kind is not None:
-            self.components.log.ended(
+            self.components.log.record_answer(
                 request_id,
                 answer,
                 method=incoming.method,
@@ -303,7 +303,7 @@
         answered[name] = answered.get(name, 0) + 1
         if rule is not None:
             self.components.latencies.request_ended(rule.path_key, answer, elapsed)
-            self.objectives.note(rule, answer, elapsed)
+            self.objectives.record(rule, answer, elapsed)
 
     async def handle_outgoing(self, incoming):
         """Answer an outgoing call of the target beside this daemon.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
@@ -58,7 +58,7 @@
     def refuse(self, call, error):
         """Log the refusal of a call and return the answer for it."""
         load = self.components.admission.load(call.path_key)
-        self.components.log.note(
+        self.components.log.record(
             "admission",
             call.request_id,
             outcome=error.kind.name.lower(),
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/manager.py
@@ -87,7 +87,7 @@
     @property
     def store_reachable(self):
         """Whether the last read of the store succeeded."""
-        return not self.store.outage.lasts
+        return not self.store.outage.active
 
     def on_change(self, callback):
         """Register a callback for each policy that comes in force."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/configuration/store.py
@@ -69,7 +69,7 @@
             self.note_failure(error)
             return False
         else:
-            self.outage.worked()
+            self.outage.record_success()
         return True
 
     async def confirm(self):
@@ -97,4 +97,4 @@
     def note_failure(self, error):
         """Count a failed access to the store."""
         self.state.counts["store_errors"] += 1
-        self.outage.failed(error)
+        self.outage.record_failure(error)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/seeds.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/membership/seeds.py
@@ -107,7 +107,7 @@
             rows = await self.table.scan(PREFIX, limit=ROWS_MAX)
         except (PlatformError, TimeoutError) as error:
             return self.note_failure(error)
-        self.outage.worked()
+        self.outage.record_success()
         return rows
 
     def other_seeds(self, rows):
@@ -124,7 +124,7 @@
     def note_failure(self, error):
         """Count a failed access to the store."""
         self.errors += 1
-        self.outage.failed(error)
+        self.outage.record_failure(error)
 
     async def update_row(self):
         """Update the own domain's row; return whether it is up to date.
@@ -139,7 +139,7 @@
                 row = await self.table.get(self.key)
                 value = self.updated_value(row.value if row else {})
                 if value is None:
-                    self.outage.worked()
+                    self.outage.record_success()
                     return True
                 revision = row.revision if row else 0
                 await self.table.write([Put(self.key, value, expected=revision)])
@@ -150,7 +150,7 @@
                 return False
             else:
                 self.writes += 1
-                self.outage.worked()
+                self.outage.record_success()
                 return True
         return False
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/gate.py
@@ -91,7 +91,7 @@
 
     def log_refusal(self, call, fingerprint, outcome, crashes):
         """Log why a call was refused."""
-        self.log.note(
+        self.log.record(
             "quarantine",
             call.request_id,
             outcome=outcome,
@@ -118,9 +118,9 @@
         text = "\0".join((self.vm, *map(str, crash.process)))
         return hashlib.blake2b(text.encode(), digest_size=CRASH_ID_BYTES).digest()
 
-    def levels(self):
+    def gauges(self):
         """Return the size of the registry, for metrics."""
-        return self.registry.levels()
+        return self.registry.gauges()
 
     def list_entries(self):
         """Return the quarantined requests as plain values."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/registry.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/registry.py
@@ -355,7 +355,7 @@
         pending, self.pending = self.pending, set()
         return pending
 
-    def levels(self):
+    def gauges(self):
         """Return the size of the registry, for metrics."""
         at = self.clock()
         quarantined = sum(entry.expires_at > at for entry in self.entries.values())
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
@@ -123,7 +123,7 @@
         }
         return {**self.counters, "arrived_by_class": by_class}
 
-    def levels(self):
+    def gauges(self):
         """Return the `BudgetUse` of the tightest window, for metrics.
 
         Returns
--- a/tests/unit/daemon/test_arrival_budget.py
+++ b/tests/unit/daemon/test_arrival_budget.py
@@ -214,7 +214,7 @@
         self.send_first_attempts(budget, 100)
         self.admit_many(budget, 2, Importance.SHEDDABLE)
         self.admit_many(budget, 1)
-        levels = budget.levels()
+        gauges = budget.gauges()
         self.assertAlmostEqual(levels.pop("allowed"), 0.9 * (0.1 * 100 + 12))
         expected = {"repeats": 3, "firsts": 100, "sharers": 4, "age_s": WINDOW_S}
         self.assertEqual(levels, expected)
