--- a/packages/papayabay-core/src/papayabay_core/calls.py
+++ b/packages/papayabay-core/src/papayabay_core/calls.py
@@ -24,7 +24,7 @@
     rest: AsyncIterator[bytes] | None = None
 
     @property
-    def whole(self):
+    def is_complete(self):
         """Whether all of the body is at hand."""
         return self.rest is None
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/receive.py
@@ -107,7 +107,7 @@
         except CallError as error:
             answer = error_answer(error)
         finally:
-            streamed = answer is not None and not answer.body.whole
+            streamed = answer is not None and not answer.body.is_complete
             if not streamed:
                 self.finish(token, live, ticket, answer)
         if streamed:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/body.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/body.py
@@ -10,7 +10,7 @@
 async def read_message(request, limits):
     """Return the whole body of a small message; BAD_REQUEST when larger."""
     body = await IncomingBody(request, limits).read()
-    if not body.whole:
+    if not body.is_complete:
         raise CallError(ErrorKind.BAD_REQUEST, "the message is too large")
     return body.first
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
@@ -57,7 +57,9 @@
         effect : Effect or None
             Overrides the table where less is known than the table says.
         """
-        if isinstance(error, Answer) and (error.body.first or not error.body.whole):
+        if isinstance(error, Answer) and (
+            error.body.first or not error.body.is_complete
+        ):
             return error
         row = ERROR_ANSWERS[error.kind]
         effect = effect or row.effect
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
@@ -152,7 +152,7 @@
     incoming = dialect.read(request.method, read_path(request), fields)
     state = IncomingBody(request, limits)
     incoming.body = await state.read()
-    if incoming.body.whole and "content-length" in fields.noted:
+    if incoming.body.is_complete and "content-length" in fields.noted:
         # Recomputed from the body at hand; a streamed body keeps the length
         # that it was announced with, since it passes on unchanged.
         incoming.headers = rules.without(incoming.headers, "content-length")
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/response.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/response.py
@@ -87,7 +87,7 @@
         try:
             if connection.closed or connection.transport.is_closing():
                 raise ConnectionResetError("the client left")
-            if self.answer.body.whole:
+            if self.answer.body.is_complete:
                 connection.transport.write(self.whole_message())
             else:
                 await self.write_stream()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/answers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/answers.py
@@ -22,7 +22,7 @@
     limit : int
         Bytes. A longer body keeps its rest, and loses nothing.
     """
-    if body.whole:
+    if body.is_complete:
         return body
     parts = [body.first]
     size = len(body.first)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -199,13 +199,13 @@
 
     async def read_body(self, call):
         """Bring the whole body to hand, within the call's life."""
-        if call.body.whole:
+        if call.body.is_complete:
             return
         try:
             async with asyncio.timeout(call.expires_at - self.clock()):
                 call.body = await answers.read_up_to(call.body, KEYED_BODY_BYTES)
         except TimeoutError:
             raise CallError(ErrorKind.EXPIRED_UNSENT) from None
-        if not call.body.whole:
+        if not call.body.is_complete:
             detail = f"a keyed call's body is at most {KEYED_BODY_BYTES} bytes"
             raise CallError(ErrorKind.BODY_TOO_LARGE, detail)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/running.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/running.py
@@ -90,7 +90,7 @@
             entry.state = KeyState.UNKNOWN
         else:
             entry.state = KeyState.DONE
-            if answer.body.whole:
+            if answer.body.is_complete:
                 self.state.key_table.keep_answer(entry, answers.to_bytes(answer))
         if not entry.streams:
             await answers.close_rest(answer.body)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/fingerprint.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/fingerprint.py
@@ -38,6 +38,6 @@
         body = call.body.first
         digest = hashlib.blake2b(head, digest_size=BYTES, key=self.key)
         digest.update(SEPARATOR + body[: self.body_bytes])
-        if len(body) > self.body_bytes or not call.body.whole:
+        if len(body) > self.body_bytes or not call.body.is_complete:
             digest.update(SEPARATOR)
         return digest.digest()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -184,7 +184,7 @@
             return "exhausted-below"
         if is_unsafe(call, answer):
             return "effect-unknown"
-        if not call.body.whole:
+        if not call.body.is_complete:
             return "body-streamed"
         if call.remaining() <= 0.0:
             return "expired"
@@ -223,7 +223,7 @@
         attempts <= decisions.per_hop_retries
         and answer.failed
         and answer.kind is not ErrorKind.EXPIRED
-        and call.body.whole
+        and call.body.is_complete
         and call.remaining() > 0.0
         and not is_unsafe(call, answer)
     )
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -61,7 +61,7 @@
         streams = False
         try:
             answer = await self.run_in_life(call, call_token, pool)
-            streams = not answer.body.whole
+            streams = not answer.body.is_complete
             return answer
         finally:
             if not streams:
@@ -151,7 +151,7 @@
         # the call at once.
         headers = end_to_end(message.head.fields, self.dialect.names).kept
         body = exchange.body(call.remaining)
-        if not body.whole:
+        if not body.is_complete:
             self.follow(body.rest, call, call_token, pool)
             return Answer(status, headers, body)
         # Without a length, an answer ends with its connection: so does one
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
@@ -156,7 +156,7 @@
 
 def request_framing(call):
     """Return the header line that tells where the body ends."""
-    if not call.body.whole:
+    if not call.body.is_complete:
         sized = rules.declared_length(call.headers) is not None
         return "" if sized else "Transfer-Encoding: chunked\r\n"
     size = len(call.body.first)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
@@ -53,9 +53,9 @@
         """
         self.connection.begin(bodiless=call.method == "HEAD")
         body = call.body
-        whole = body.whole and body.first
+        whole = body.is_complete and body.first
         self.connection.transport.write(head + body.first if whole else head)
-        if not body.whole:
+        if not body.is_complete:
             self.upload = asyncio.create_task(self.send_body(call))
 
     async def send_body(self, call):
