--- a/packages/papayabay-core/src/papayabay_core/calls.py
+++ b/packages/papayabay-core/src/papayabay_core/calls.py
@@ -63,7 +63,7 @@
         learned by, so that both stay bounded.
     repeated : bool
         Whether it is another attempt, or made by a run that was one.
-    declared : Importance or None
+    declared_class : Importance or None
         The class that policy gives it, where it stands with a better one;
         see `effective_priority`.
     attempts : int
@@ -93,18 +93,18 @@
     path_key: str = ""
     attempts: int = 0
     repeated: bool = False
-    declared: Importance | None = None
+    declared_class: Importance | None = None
     account: str = ""
     key_digest: str = ""
 
     @property
-    def own_class(self):
+    def policy_class(self):
         """The class by policy, however the call stands in lines.
 
         Those that are kept from a lesser class are let in with the critical
         ones, but what is scarce beyond a slot goes to critical ones first.
         """
-        return self.importance if self.declared is None else self.declared
+        return self.importance if self.declared_class is None else self.declared_class
 
     @property
     def level(self):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -269,7 +269,7 @@
             idempotency_key=incoming.idempotency_key,
             path_key=rule.path_key,
             attempts=rule.attempts,
-            declared=None if importance is declared else declared,
+            declared_class=None if importance is declared else declared,
             account=account.name,
             key_digest=identity.key_digest if identity else "",
         )
@@ -366,7 +366,7 @@
             path_key=rule.path_key,
             attempts=rule.attempts,
             repeated=parent.repeated,
-            declared=parent.declared,
+            declared_class=parent.declared_class,
             account=parent.account,
         )
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/call_frames.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/call_frames.py
@@ -216,7 +216,7 @@
         body=first,
         last=last,
         purpose=purpose,
-        declared=None if call.declared is None else int(call.declared),
+        declared=None if call.declared_class is None else int(call.declared_class),
         account=call.account,
     )
     try:
@@ -254,7 +254,7 @@
         idempotency_key=frame.idempotency_key,
         path_key=frame.path_key,
         repeated=frame.repeated,
-        declared=None if frame.declared is None else IMPORTANCES[frame.declared],
+        declared_class=None if frame.declared is None else IMPORTANCES[frame.declared],
         account=frame.account,
     )
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
@@ -74,7 +74,7 @@
         if not call.repeated:
             return window
         sharers = self.sharers.most()
-        if window.allow(retries, sharers, call.own_class):
+        if window.allow(retries, sharers, call.policy_class):
             self.shortage.allowed(call.service, self.clock())
             return window
         self.counters["refused"] += 1
@@ -93,7 +93,7 @@
         if call.repeated:
             window.repeat_arrived()
             self.counters["arrived"] += 1
-            self.arrived_by_class[call.own_class] += 1
+            self.arrived_by_class[call.policy_class] += 1
         else:
             window.first_arrived()
             self.counters["first_attempts"] += 1
--- a/tests/unit/daemon/links_support.py
+++ b/tests/unit/daemon/links_support.py
@@ -46,7 +46,7 @@
         idempotency_key="k",
         path_key="p",
         repeated=True,
-        declared=Importance.NORMAL,
+        declared_class=Importance.NORMAL,
     )
 
 
--- a/tests/unit/daemon/test_account_calls.py
+++ b/tests/unit/daemon/test_account_calls.py
@@ -60,7 +60,7 @@
     def test_a_class_of_the_account_takes_precedence(self):
         call = self.entered(small={"importance": "critical"})
         self.assertEqual(call.importance, Importance.CRITICAL)
-        self.assertEqual(call.own_class, Importance.CRITICAL)
+        self.assertEqual(call.policy_class, Importance.CRITICAL)
 
     def test_paths_decide_among_accounts_of_one_class(self):
         """Guards against look-ups that displace orders of equal accounts."""
--- a/tests/unit/daemon/test_arrival_budget.py
+++ b/tests/unit/daemon/test_arrival_budget.py
@@ -112,7 +112,7 @@
         budget = self.warm()
         self.firsts(budget, 1_000)
         kept = make_call(repeated=True)
-        kept.declared = Importance.SHEDDABLE
+        kept.declared_class = Importance.SHEDDABLE
         with self.assertRaises(CallError):
             for _ in range(400):
                 budget.record_arrival(kept, budget.check(kept))
