--- a/packages/papayabay-core/src/papayabay_core/calls.py
+++ b/packages/papayabay-core/src/papayabay_core/calls.py
@@ -118,7 +118,7 @@
 
 SERVER_ERROR = 500
 """Lowest HTTP status that tells of a failure."""
-MOST_CLOSED = 16
+MAX_PATH_LEVELS = 16
 """Call paths that a `LoadState` names at most, the most refused first."""
 
 
@@ -140,9 +140,9 @@
         Recent time from handing over to answer, milliseconds.
     admit_level : int
         Highest level that this daemon itself admits now, on any path.
-    closed : dict of str to int
+    path_levels : dict of str to int
         Highest level admitted by the services below, for each call path of
-        this service on which they refuse some; see `MOST_CLOSED`.
+        this service on which they refuse some; see `MAX_PATH_LEVELS`.
     """
 
     in_flight: int = 0
@@ -151,7 +151,7 @@
     queue_ms: float = 0.0
     service_ms: float = 0.0
     admit_level: int = ADMIT_ALL
-    closed: dict[str, int] = field(default_factory=dict)
+    path_levels: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/control.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/control.py
@@ -111,7 +111,7 @@
             queue_ms=self.queue_s * 1_000,
             service_ms=self.times.mean(path_key) * 1_000,
             admit_level=self.scheme.level(now),
-            closed=self.downstream.closed(now),
+            path_levels=self.downstream.closed(now),
         )
 
     def read_clock(self):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/chains.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/chains.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from papayabay_core.calls import MOST_CLOSED
+from papayabay_core.calls import MAX_PATH_LEVELS
 from papayabay_core.importance import ADMIT_ALL
 
 HALVE_AFTER = 256
@@ -66,12 +66,12 @@
         Returns
         -------
         dict of str to int
-            By path key, at most `MOST_CLOSED`, the lowest levels first.
+            By path key, at most `MAX_PATH_LEVELS`, the lowest levels first.
         """
         levels = ((path_key, self.level_below(path_key)) for path_key in self.paths)
         closed = [entry for entry in levels if entry[1] < ADMIT_ALL]
         closed.sort(key=lambda entry: entry[1])
-        return dict(closed[:MOST_CLOSED])
+        return dict(closed[:MAX_PATH_LEVELS])
 
     def level_below(self, path_key):
         """Return the lowest level of the services that a path usually calls.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/call_frames.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/call_frames.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from papayabay_core.calls import MOST_CLOSED, Answer, Body, Call, LoadState
+from papayabay_core.calls import MAX_PATH_LEVELS, Answer, Body, Call, LoadState
 from papayabay_core.errors import CallError, Effect, ErrorKind
 from papayabay_core.exceptions import ProtocolError
 from papayabay_core.importance import Importance
@@ -300,13 +300,13 @@
         load.queue_ms,
         load.service_ms,
         load.admit_level,
-        load.closed,
+        load.path_levels,
     )
 
 
 def decode_load(frame):
     """Return the load state of a frame; raises `ProtocolError`."""
-    if len(frame.closed) > MOST_CLOSED:
+    if len(frame.closed) > MAX_PATH_LEVELS:
         raise ProtocolError(f"{len(frame.closed)} closed paths")
     return LoadState(
         in_flight=frame.in_flight,
@@ -315,7 +315,7 @@
         queue_ms=frame.queue_ms,
         service_ms=frame.service_ms,
         admit_level=frame.admit_level,
-        closed=frame.closed,
+        path_levels=frame.closed,
     )
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
@@ -1,6 +1,6 @@
 """What an upstream last said that it refuses, itself and per call path."""
 
-from papayabay_core.calls import MOST_CLOSED
+from papayabay_core.calls import MAX_PATH_LEVELS
 from papayabay_core.importance import ADMIT_ALL, RANKS, Importance
 
 TRUST_SECONDS = 0.5
@@ -54,24 +54,24 @@
             self.average(load)
         else:
             self.own = load.admit_level
-            self.closed = load.closed
+            self.closed = load.path_levels
         self.heard_at = at
 
     def average(self, load):
         """Move the levels towards those of an answer."""
         self.own = self.moved(self.own, load.admit_level)
-        if not self.closed and not load.closed:
+        if not self.closed and not load.path_levels:
             return
         levels = {
             path: self.moved(
-                self.closed.get(path, ADMIT_ALL), load.closed.get(path, ADMIT_ALL)
+                self.closed.get(path, ADMIT_ALL), load.path_levels.get(path, ADMIT_ALL)
             )
-            for path in self.closed.keys() | load.closed.keys()
+            for path in self.closed.keys() | load.path_levels.keys()
         }
         lowest_first = sorted(levels.items(), key=lambda entry: entry[1])
         self.closed = {
             path: level
-            for path, level in lowest_first[: 2 * MOST_CLOSED]
+            for path, level in lowest_first[: 2 * MAX_PATH_LEVELS]
             if level < NEARLY_OPEN
         }
 
--- a/tests/unit/daemon/test_admission_control.py
+++ b/tests/unit/daemon/test_admission_control.py
@@ -124,11 +124,11 @@
         self.assertEqual(await outcome(control, worse), ErrorKind.OVERLOADED)
         (await control.admit(make_call(clock, rank=500))).finish(OK)
         (await control.admit(make_call(clock, rank=9_000, path="q"))).finish(OK)
-        self.assertEqual(control.load("p").closed, levels)
+        self.assertEqual(control.load("p").path_levels, levels)
         self.assertEqual(control.load("p").admit_level, ADMIT_ALL)
         levels.clear()
         await asyncio.sleep(0.02)
-        self.assertEqual(control.load("p").closed, {})
+        self.assertEqual(control.load("p").path_levels, {})
         (await control.admit(worse)).finish(OK)
 
     @virtually
--- a/tests/unit/daemon/test_routing_refusals.py
+++ b/tests/unit/daemon/test_routing_refusals.py
@@ -79,7 +79,7 @@
         self.assertFalse(self.table.has_other(call(Importance.SHEDDABLE), ()))
 
     def test_what_services_below_refuse_is_of_one_path(self):
-        below = LoadState(limit=10, closed={"stock/look": CLASS_EDGE})
+        below = LoadState(limit=10, path_levels={"stock/look": CLASS_EDGE})
         for upstream in self.upstreams:
             self.end(upstream, good(below), a_call=call(Importance.CRITICAL))
         self.assertFalse(self.table.has_other(call(), ()))
