--- a/packages/papayabay-core/src/papayabay_core/errors.py
+++ b/packages/papayabay-core/src/papayabay_core/errors.py
@@ -83,7 +83,7 @@
         What is said about the request's effect.
     retry : Retry
         Advice to the caller.
-    elsewhere : bool
+    retry_elsewhere : bool
         Whether a daemon may try another upstream for the same call.
     title : str
         One line for people.
@@ -92,7 +92,7 @@
     status: int
     effect: Effect
     retry: Retry
-    elsewhere: bool
+    retry_elsewhere: bool
     title: str
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -178,7 +178,7 @@
         """Return why not to retry, or "" after paying for a retry."""
         if answer.kind is None and not failed_by_itself(answer):
             return "answered"
-        if answer.kind is not None and not ERROR_ANSWERS[answer.kind].elsewhere:
+        if answer.kind is not None and not ERROR_ANSWERS[answer.kind].retry_elsewhere:
             return "final"
         if answer.exhausted:
             return "exhausted-below"
--- a/tests/unit/core/test_errors.py
+++ b/tests/unit/core/test_errors.py
@@ -101,7 +101,7 @@
         for kind, answer in ERROR_ANSWERS.items():
             if answer.retry is Retry.NEVER:
                 with self.subTest(kind.name):
-                    self.assertFalse(answer.elsewhere)
+                    self.assertFalse(answer.retry_elsewhere)
 
     def test_statuses_are_errors_and_titles_differ(self):
         answers = ERROR_ANSWERS.values()
--- a/tests/unit/daemon/test_retries_rules.py
+++ b/tests/unit/daemon/test_retries_rules.py
@@ -196,7 +196,7 @@
         for kind in ErrorKind:
             self.setUp()
             with self.subTest(kind=kind):
-                expected = ERROR_ANSWERS[kind].elsewhere
+                expected = ERROR_ANSWERS[kind].retry_elsewhere
                 self.assertEqual(self.retried(ended(kind)), expected)
                 self.assertEqual(self.account.balance, 2 - expected)
 
