--- a/packages/papayabay-cli/src/papayabay_cli/commands/explain.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/explain.py
@@ -65,7 +65,7 @@
     if not path.startswith("/"):
         raise UsageError(f"path: '{path}' does not begin with '/'")
     found = await load_version(log, version)
-    if not found.policy().knows(service):
+    if not found.policy().has_service(service):
         raise UsageError(
             f"version {found.version} names no service '{service}': "
             "every call to it is answered 404, not run"
--- a/packages/papayabay-core/src/papayabay_core/policy/rules.py
+++ b/packages/papayabay-core/src/papayabay_core/policy/rules.py
@@ -69,7 +69,7 @@
         """How keys of client accounts are checked."""
         return self.document.authentication
 
-    def knows(self, service):
+    def has_service(self, service):
         """Return whether the policy names the service."""
         return service in self.calls
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -122,7 +122,7 @@
         policy = self.components.policy()
         if incoming.host:
             return self.route(policy, incoming)
-        if not policy.knows(incoming.service):
+        if not policy.has_service(incoming.service):
             raise unknown_service(policy, incoming.service)
         return policy.rule_for(incoming.service, incoming.method, incoming.path)
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
@@ -57,7 +57,7 @@
         """Return where to ask, or None while no policy says so."""
         for _ in range(LOOKS):
             policy = self.policy()
-            if policy.knows(self.target.service):
+            if policy.has_service(self.target.service):
                 return policy.declaration(self.target.service).health_path
             await asyncio.sleep(LOOK_SECONDS)
         return None
