--- a/packages/papayabay-core/src/papayabay_core/http/connection.py
+++ b/packages/papayabay-core/src/papayabay_core/http/connection.py
@@ -13,16 +13,16 @@
     transport : asyncio.Transport or None
     closed : bool
         Whether nothing more comes or goes.
-    holders : set
+    read_pauses : set
         Those for whose sake it is not read now.
     """
 
     def __init__(self):
         self.transport = None
         self.closed = False
-        self.holders = set()
-        self.full = False
-        self.writable = None
+        self.read_pauses = set()
+        self.write_paused = False
+        self.write_waiter = None
 
     def connection_made(self, transport):
         """Take the transport."""
@@ -31,34 +31,34 @@
     def connection_lost(self, error):
         """Wake whoever waits to write."""
         self.closed = True
-        self.holders.clear()
+        self.read_pauses.clear()
         self.resume_writing()
 
-    def hold(self, holder):
-        """Stop reading until the same holder lets go."""
-        if not self.holders and not self.closed:
+    def pause_reading(self, requester):
+        """Stop reading until the same requester lets go."""
+        if not self.read_pauses and not self.closed:
             self.transport.pause_reading()
-        self.holders.add(holder)
+        self.read_pauses.add(requester)
 
-    def release(self, holder):
+    def resume_reading(self, requester):
         """Go on reading unless somebody else holds."""
-        if holder not in self.holders:
+        if requester not in self.read_pauses:
             return
-        self.holders.discard(holder)
-        if not self.holders and not self.closed:
+        self.read_pauses.discard(requester)
+        if not self.read_pauses and not self.closed:
             self.transport.resume_reading()
 
     def pause_writing(self):
         """Note that the peer reads slowly."""
-        self.full = True
+        self.write_paused = True
 
     def resume_writing(self):
         """Let writers go on."""
-        self.full = False
-        if self.writable is not None and not self.writable.done():
-            self.writable.set_result(None)
+        self.write_paused = False
+        if self.write_waiter is not None and not self.write_waiter.done():
+            self.write_waiter.set_result(None)
 
-    async def drained(self):
+    async def drain(self):
         """Wait until there is room to write.
 
         Raises
@@ -66,9 +66,9 @@
         ConnectionResetError
             When the connection has ended.
         """
-        while self.full and not self.closed:
-            self.writable = asyncio.get_running_loop().create_future()
-            await self.writable
+        while self.write_paused and not self.closed:
+            self.write_waiter = asyncio.get_running_loop().create_future()
+            await self.write_waiter
         if self.closed:
             raise ConnectionResetError("the connection has ended")
 
@@ -110,10 +110,10 @@
         if self.chunked:
             part = b"%x\r\n%b\r\n" % (len(part), part)
         self.connection.transport.write(part)
-        await self.connection.drained()
+        await self.connection.drain()
 
     async def write_eof(self):
         """Write the end of the body."""
         if self.chunked:
             self.connection.transport.write(b"0\r\n\r\n")
-        await self.connection.drained()
+        await self.connection.drain()
--- a/packages/papayabay-core/src/papayabay_core/http/payload.py
+++ b/packages/papayabay-core/src/papayabay_core/http/payload.py
@@ -52,7 +52,7 @@
         self.size += len(data)
         self.total += len(data)
         if self.size > HIGH_BYTES:
-            self.connection.hold(self)
+            self.connection.pause_reading(self)
         if self.waiter is not None:
             self.wake()
 
@@ -100,7 +100,7 @@
             part = part[:most]
         self.size -= len(part)
         if self.size <= HIGH_BYTES:
-            self.connection.release(self)
+            self.connection.resume_reading(self)
         return part
 
     def take_all(self):
@@ -108,5 +108,5 @@
         data = self.parts[0] if len(self.parts) == 1 else b"".join(self.parts)
         self.parts.clear()
         self.size = 0
-        self.connection.release(self)
+        self.connection.resume_reading(self)
         return data
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
@@ -241,9 +241,9 @@
             self.begun.append(exchange)
             exchange.task = loop.create_task(self.serve(exchange))
         if len(self.waiting) > self.most_begun:
-            self.hold(WAITING)
-        elif self.holders:
-            self.release(WAITING)
+            self.pause_reading(WAITING)
+        elif self.read_pauses:
+            self.resume_reading(WAITING)
 
     def may_begin(self, exchange):
         """Whether an exchange may begin beside those that run.
@@ -316,8 +316,8 @@
         if wanted or self.closed:
             self.transport.close()
             return
-        if self.holders:
-            self.holders.clear()
+        if self.read_pauses:
+            self.read_pauses.clear()
             self.transport.resume_reading()
         self.transport.write_eof()
         loop = asyncio.get_running_loop()
