--- a/packages/papayabay-core/src/papayabay_core/http/client.py
+++ b/packages/papayabay-core/src/papayabay_core/http/client.py
@@ -7,7 +7,7 @@
 
 from papayabay_core.http.connection import HttpConnection
 from papayabay_core.http.heads import FieldsReader, Head
-from papayabay_core.http.payload import Payload, PayloadBroken
+from papayabay_core.http.payload import IncompletePayload, Payload
 
 FIRST_FINAL_STATUS = 200
 
@@ -107,7 +107,7 @@
         message = self.message
         if message is not None and error is None and not message.head.is_framed:
             self.complete(message)
-        self.fail(PayloadBroken(f"the connection ended: {error!r}"))
+        self.fail(IncompletePayload(f"the connection ended: {error!r}"))
         self.parser = None
         self.on_lost(self)
 
@@ -149,7 +149,7 @@
         if message is None:
             return
         message.payload.feed(data)
-        if not self.announced and message.payload.total >= self.inline_bytes:
+        if not self.announced and message.payload.received_bytes >= self.inline_bytes:
             self.announce(message)
 
     def on_message_complete(self):
@@ -178,7 +178,7 @@
     def spoil(self, detail):
         """End the connection because of what came on it."""
         self.spoiled = True
-        self.fail(PayloadBroken(detail))
+        self.fail(IncompletePayload(detail))
         self.transport.abort()
 
     def fail(self, error):
--- a/packages/papayabay-core/src/papayabay_core/http/payload.py
+++ b/packages/papayabay-core/src/papayabay_core/http/payload.py
@@ -3,12 +3,12 @@
 import asyncio
 from collections import deque
 
-HIGH_BYTES = 131_072
+MAX_BUFFERED_BYTES = 131_072
 """Unread bytes at which the connection is no longer read: two parts of a
 streamed body, so that one is at hand while the other is on its way."""
 
 
-class PayloadBroken(ConnectionError):
+class IncompletePayload(ConnectionError):
     """A body that ended before its end."""
 
 
@@ -26,32 +26,40 @@
         Whether the whole body has arrived.
     fault : Exception or None
         Why it never will.
-    total : int
+    received_bytes : int
         Bytes that have arrived, those already read too.
     """
 
-    __slots__ = ("complete", "connection", "fault", "parts", "size", "total", "waiter")
+    __slots__ = (
+        "buffered_bytes",
+        "chunks",
+        "complete",
+        "connection",
+        "fault",
+        "received_bytes",
+        "waiter",
+    )
 
     def __init__(self, connection):
         self.connection = connection
-        self.parts = deque()
-        self.size = 0
-        self.total = 0
+        self.chunks = deque()
+        self.buffered_bytes = 0
+        self.received_bytes = 0
         self.complete = False
         self.fault = None
         self.waiter = None
 
     @property
-    def at_end(self):
+    def fully_read(self):
         """Whether all of a whole body was read."""
-        return self.complete and not self.parts
+        return self.complete and not self.chunks
 
     def feed(self, data):
         """Take in bytes."""
-        self.parts.append(data)
-        self.size += len(data)
-        self.total += len(data)
-        if self.size > HIGH_BYTES:
+        self.chunks.append(data)
+        self.buffered_bytes += len(data)
+        self.received_bytes += len(data)
+        if self.buffered_bytes > MAX_BUFFERED_BYTES:
             self.connection.pause_reading(self)
         if self.waiter is not None:
             self.wake()
@@ -75,38 +83,38 @@
         if not self.waiter.done():
             self.waiter.set_result(None)
 
-    async def read(self, most):
-        """Return up to `most` bytes; empty at the end.
+    async def read(self, limit):
+        """Return up to `limit` bytes; empty at the end.
 
         Raises
         ------
         Exception
             The fault that ended the body short.
         """
-        while not self.parts:
+        while not self.chunks:
             if self.fault is not None:
                 raise self.fault
             if self.complete:
                 return b""
             self.waiter = asyncio.get_running_loop().create_future()
             await self.waiter
-        return self.take(most)
-
-    def take(self, most):
-        """Return the first bytes at hand, at most so many."""
-        part = self.parts.popleft()
-        if len(part) > most:
-            self.parts.appendleft(part[most:])
-            part = part[:most]
-        self.size -= len(part)
-        if self.size <= HIGH_BYTES:
+        return self.read_nowait(limit)
+
+    def read_nowait(self, limit):
+        """Return the first bytes at hand, at limit so many."""
+        part = self.chunks.popleft()
+        if len(part) > limit:
+            self.chunks.appendleft(part[limit:])
+            part = part[:limit]
+        self.buffered_bytes -= len(part)
+        if self.buffered_bytes <= MAX_BUFFERED_BYTES:
             self.connection.resume_reading(self)
         return part
 
-    def take_all(self):
+    def read_all_nowait(self):
         """Return all bytes at hand."""
-        data = self.parts[0] if len(self.parts) == 1 else b"".join(self.parts)
-        self.parts.clear()
-        self.size = 0
+        data = self.chunks[0] if len(self.chunks) == 1 else b"".join(self.chunks)
+        self.chunks.clear()
+        self.buffered_bytes = 0
         self.connection.resume_reading(self)
         return data
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/body.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/body.py
@@ -54,7 +54,7 @@
         inline = self.limits.inline_body_bytes
         while self.total < inline:
             parts.append(await self.next_part(inline - self.total))
-            if payload.at_end:
+            if payload.fully_read:
                 return Body(b"".join(parts))
         return Body(b"".join(parts), self.stream())
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/request.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/request.py
@@ -57,7 +57,7 @@
     @property
     def is_read(self):
         """Whether nothing of it is left to be read."""
-        return self.payload is None or self.payload.at_end
+        return self.payload is None or self.payload.fully_read
 
     @property
     def is_concurrent(self):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
@@ -4,7 +4,7 @@
 
 from papayabay_core.calls import Body
 from papayabay_core.http.connection import BodyWriter
-from papayabay_core.http.payload import PayloadBroken
+from papayabay_core.http.payload import IncompletePayload
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.doors import headers as rules
 from papayabay_daemon._internal.doors.streaming import write_body
@@ -70,7 +70,7 @@
             # until the call's life ends. It becomes an error of the payload:
             # what the body's source says (say, "too large: not run") is not
             # true of a request that was partly handed over.
-            broken = PayloadBroken(f"the request's body broke off: {error!r}")
+            broken = IncompletePayload(f"the request's body broke off: {error!r}")
             self.connection.fail(broken)
             self.connection.abort()
 
@@ -84,13 +84,13 @@
 
         Raises
         ------
-        PayloadBroken
+        IncompletePayload
             When it is longer than any that is read whole.
         """
         payload = self.message.payload
         while await payload.read(PART_BYTES):
-            if payload.total > self.limits.inline_body_bytes:
-                raise PayloadBroken("a stray answer is too long to skip")
+            if payload.received_bytes > self.limits.inline_body_bytes:
+                raise IncompletePayload("a stray answer is too long to skip")
 
     def body(self, expires_after):
         """Return the answer's body; a large one as a stream.
@@ -101,11 +101,11 @@
             Returns the seconds of life left.
         """
         payload = self.message.payload
-        if payload.complete and payload.size <= self.limits.inline_body_bytes:
-            body = Body(payload.take_all())
+        if payload.complete and payload.buffered_bytes <= self.limits.inline_body_bytes:
+            body = Body(payload.read_all_nowait())
             self.finish()
             return body
-        first = payload.take_all()
+        first = payload.read_all_nowait()
         return Body(first, AnswerStream(self, expires_after))
 
     def discard(self):
@@ -166,7 +166,7 @@
         ------
         TimeoutError
             When the call's life ended.
-        PayloadBroken
+        IncompletePayload
             When the target broke off.
         """
         if self.ended:
