--- a/packages/papayabay-core/src/papayabay_core/http/client.py
+++ b/packages/papayabay-core/src/papayabay_core/http/client.py
@@ -6,7 +6,7 @@
 import httptools
 
 from papayabay_core.http.connection import HttpConnection
-from papayabay_core.http.heads import FieldsReader, Head
+from papayabay_core.http.heads import Head, HeaderCollector
 from papayabay_core.http.payload import IncompletePayload, Payload
 
 FIRST_FINAL_STATUS = 200
@@ -30,7 +30,7 @@
         self.payload = payload
 
 
-class ClientConnection(FieldsReader, HttpConnection):
+class ClientConnection(HeaderCollector, HttpConnection):
     """A connection to a server that answers one request at a time.
 
     Parameters
@@ -47,7 +47,7 @@
         Whether a request was sent whose answer wasn't read to its end.
     spoiled : bool
         Whether nothing that still comes can be trusted to belong anywhere.
-    used_at : float
+    idle_since : float
         When it was last given back, on `clock.now()`.
     """
 
@@ -65,7 +65,7 @@
         self.bodiless = False
         self.busy = False
         self.spoiled = False
-        self.used_at = 0.0
+        self.idle_since = 0.0
 
     @property
     def reusable(self):
@@ -73,7 +73,7 @@
         between = not (self.in_head or self.message or self.arrived)
         return between and not (self.spoiled or self.closed)
 
-    def begin(self, bodiless):
+    def start_request(self, bodiless):
         """Note that a request is sent, and whether its answer has no body."""
         self.bodiless = bodiless
         self.busy = True
--- a/packages/papayabay-core/src/papayabay_core/http/heads.py
+++ b/packages/papayabay-core/src/papayabay_core/http/heads.py
@@ -44,7 +44,7 @@
         return TRANSFER_ENCODING in self.first or bool(self.length)
 
 
-class FieldsReader:
+class HeaderCollector:
     """The part of a parser's protocol that collects header fields.
 
     Attributes
--- a/packages/papayabay-core/src/papayabay_core/http/requester.py
+++ b/packages/papayabay-core/src/papayabay_core/http/requester.py
@@ -89,7 +89,7 @@
         place = urlsplit(url)
         key = (place.hostname, place.port or HTTP_PORT)
         connection = self.take_idle(key) or await self.connect(*key)
-        connection.begin(bodiless=method == "HEAD")
+        connection.start_request(bodiless=method == "HEAD")
         try:
             connection.transport.write(request_head(method, place, content, query))
             connection.transport.write(content)
@@ -115,7 +115,7 @@
         idle = self.idle.get(key, ())
         while idle:
             connection = idle.pop()
-            if connection.reusable and now() - connection.used_at <= IDLE_SECONDS:
+            if connection.reusable and now() - connection.idle_since <= IDLE_SECONDS:
                 return connection
             connection.abort()
         return None
@@ -126,7 +126,7 @@
         if not connection.reusable:
             connection.abort()
             return
-        connection.used_at = now()
+        connection.idle_since = now()
         self.idle.setdefault(key, []).append(connection)
 
     async def connect(self, host, port):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
@@ -9,7 +9,7 @@
 
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.http.connection import HttpConnection
-from papayabay_core.http.heads import FieldsReader, Head
+from papayabay_core.http.heads import Head, HeaderCollector
 from papayabay_daemon._internal.http.request import Request
 
 KEEP_ALIVE_SECONDS = 75.0
@@ -71,7 +71,7 @@
         return self.request is not None and self.request.is_concurrent
 
 
-class ServerConnection(FieldsReader, HttpConnection):
+class ServerConnection(HeaderCollector, HttpConnection):
     """One client's connection, on which requests may be pipelined.
 
     Safe requests without a body run at the same time, up to a bound, so that
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
@@ -51,7 +51,7 @@
         head : bytes
             Request line and header fields.
         """
-        self.connection.begin(bodiless=call.method == "HEAD")
+        self.connection.start_request(bodiless=call.method == "HEAD")
         body = call.body
         whole = body.is_complete and body.first
         self.connection.transport.write(head + body.first if whole else head)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/pool.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/pool.py
@@ -99,7 +99,7 @@
             connection = self.idle.pop()
             if connection.closed or connection.transport.is_closing():
                 continue
-            if now() - connection.used_at <= self.idle_seconds:
+            if now() - connection.idle_since <= self.idle_seconds:
                 return connection
             connection.abort()
         return None
@@ -159,7 +159,7 @@
         if not connection.reusable or self.closed:
             connection.abort()
             return
-        connection.used_at = now()
+        connection.idle_since = now()
         self.idle.append(connection)
         self.wake_one()
 
