--- a/packages/papayabay-core/src/papayabay_core/platform/era.py
+++ b/packages/papayabay-core/src/papayabay_core/platform/era.py
@@ -29,7 +29,7 @@
         self.listeners = []
         self.changes = 0
 
-    def note(self, era):
+    def observe(self, era):
         """Observe the era of an answer.
 
         Raises
--- a/packages/papayabay-core/src/papayabay_core/platform/transport.py
+++ b/packages/papayabay-core/src/papayabay_core/platform/transport.py
@@ -64,7 +64,7 @@
     def note_era(self, reply):
         """Note an answer's era before anything of it is used."""
         if self.era_of is not None:
-            self.era.note(self.era_of(reply))
+            self.era.observe(self.era_of(reply))
 
     async def write(self, method, url, content=b""):
         """Return the `Reply` to a write that the platform has decided on.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/rows.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/rows.py
@@ -68,7 +68,7 @@
         the row is lost.
         """
         if era > (self.table.era.current or 0):
-            self.table.era.note(era)
+            self.table.era.observe(era)
 
     def log_restored(self):
         """Log, once, that all rows are stored again."""
--- a/tests/unit/daemon/test_membership_joining.py
+++ b/tests/unit/daemon/test_membership_joining.py
@@ -57,7 +57,7 @@
         Sequence: the store comes back from an older copy, without the rows;
         one daemon hears of it, which is not the one that keeps the row.
         """
-        self.table.era.note(1)
+        self.table.era.observe(1)
         await self.start_many("ab")
         written = asyncio.Event()
         async with asyncio.timeout(BOUND_SECONDS):
@@ -65,7 +65,7 @@
                 await asyncio.sleep(0.01)
             self.table.rows.clear()
             self.table.before_write = partial(note_write, written)
-            self.table.era.note(2)
+            self.table.era.observe(2)
             await written.wait()
 
     async def test_who_restarts_while_the_store_is_away_is_found_at_once(self):
--- a/tests/unit/daemon/test_quarantine_fleet.py
+++ b/tests/unit/daemon/test_quarantine_fleet.py
@@ -122,7 +122,7 @@
         """One daemon alone hears that the store came back from a copy."""
 
         async def scenario(fleet):
-            fleet.table.era.note(1)
+            fleet.table.era.observe(1)
             await fleet.play(4.0)
             fleet.table.rows.clear()
             last = fleet.daemons[-1]
