--- a/packages/papayabay-core/src/papayabay_core/configuration/__init__.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/__init__.py
@@ -5,8 +5,8 @@
 from papayabay_core.configuration.patch import Patch, new_patch
 from papayabay_core.configuration.proof import (
     PROOF_HEADER,
-    is_proven,
     prove_patches,
+    verify_proof,
 )
 from papayabay_core.configuration.records import CorruptRecord, UpgradeNeeded
 from papayabay_core.configuration.results import CommitOutcome, CommitResult
@@ -32,7 +32,7 @@
     "diff_documents",
     "encode_configuration",
     "encode_patches",
-    "is_proven",
+    "verify_proof",
     "merge_patch",
     "new_patch",
     "prove_patches",
--- a/packages/papayabay-core/src/papayabay_core/configuration/proof.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/proof.py
@@ -19,7 +19,7 @@
     return hmac.digest(secret.encode(), PURPOSE + content, "sha256").hex()
 
 
-def is_proven(secret, content, proof):
+def verify_proof(secret, content, proof):
     """Return whether a proof is right for encoded patches."""
     expected = prove_patches(secret, content).encode()
     return hmac.compare_digest(expected, proof.encode("utf-8", "surrogateescape"))
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/status.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/status.py
@@ -1,6 +1,6 @@
 """The door for operators and metrics, on loopback."""
 
-from papayabay_core.configuration import PROOF_HEADER, is_proven
+from papayabay_core.configuration import PROOF_HEADER, verify_proof
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.exceptions import ProtocolError
 from papayabay_daemon._internal.doors.body import read_message
@@ -53,7 +53,7 @@
         """
         content = await read_message(request, self.limits)
         proof = request.header(PROOF_FIELD)
-        if not is_proven(self.secret, content, proof):
+        if not verify_proof(self.secret, content, proof):
             raise bad_request(f"{PROOF_HEADER} is missing or wrong")
         try:
             return json_answer(await self.intakes[request.path](content))
