--- a/packages/papayabay-core/src/papayabay_core/http/client.py
+++ b/packages/papayabay-core/src/papayabay_core/http/client.py
@@ -7,7 +7,7 @@
 
 from papayabay_core.http.connection import HttpConnection
 from papayabay_core.http.heads import Head, HeaderCollector
-from papayabay_core.http.payload import IncompletePayload, Payload
+from papayabay_core.http.payload import Payload, PayloadBroken
 
 FIRST_FINAL_STATUS = 200
 
@@ -107,7 +107,7 @@
         message = self.message
         if message is not None and error is None and not message.head.is_framed:
             self.complete(message)
-        self.fail(IncompletePayload(f"the connection ended: {error!r}"))
+        self.fail(PayloadBroken(f"the connection ended: {error!r}"))
         self.parser = None
         self.on_lost(self)
 
@@ -178,7 +178,7 @@
     def spoil(self, detail):
         """End the connection because of what came on it."""
         self.spoiled = True
-        self.fail(IncompletePayload(detail))
+        self.fail(PayloadBroken(detail))
         self.transport.abort()
 
     def fail(self, error):
--- a/packages/papayabay-core/src/papayabay_core/http/payload.py
+++ b/packages/papayabay-core/src/papayabay_core/http/payload.py
@@ -8,7 +8,7 @@
 streamed body, so that one is at hand while the other is on its way."""
 
 
-class IncompletePayload(ConnectionError):
+class PayloadBroken(ConnectionError):
     """A body that ended before its end."""
 
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
@@ -4,7 +4,7 @@
 
 from papayabay_core.calls import Body
 from papayabay_core.http.connection import BodyWriter
-from papayabay_core.http.payload import IncompletePayload
+from papayabay_core.http.payload import PayloadBroken
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.doors import headers as rules
 from papayabay_daemon._internal.doors.streaming import write_body
@@ -70,7 +70,7 @@
             # until the call's life ends. It becomes an error of the payload:
             # what the body's source says (say, "too large: not run") is not
             # true of a request that was partly handed over.
-            broken = IncompletePayload(f"the request's body broke off: {error!r}")
+            broken = PayloadBroken(f"the request's body broke off: {error!r}")
             self.connection.fail(broken)
             self.connection.abort()
 
@@ -84,13 +84,13 @@
 
         Raises
         ------
-        IncompletePayload
+        PayloadBroken
             When it is longer than any that is read whole.
         """
         payload = self.message.payload
         while await payload.read(PART_BYTES):
             if payload.received_bytes > self.limits.inline_body_bytes:
-                raise IncompletePayload("a stray answer is too long to skip")
+                raise PayloadBroken("a stray answer is too long to skip")
 
     def body(self, expires_after):
         """Return the answer's body; a large one as a stream.
@@ -166,7 +166,7 @@
         ------
         TimeoutError
             When the call's life ended.
-        IncompletePayload
+        PayloadBroken
             When the target broke off.
         """
         if self.ended:
--- a/tests/unit/daemon/test_target_truth.py
+++ b/tests/unit/daemon/test_target_truth.py
@@ -5,7 +5,7 @@
 
 from papayabay_core.calls import Body
 from papayabay_core.errors import CallError, Effect, ErrorKind
-from papayabay_core.http.payload import IncompletePayload
+from papayabay_core.http.payload import PayloadBroken
 from tests.unit.daemon.door_fakes import bounded, call
 from tests.unit.daemon.target_client_support import OK, ClientTestCase, replying, silent
 
@@ -152,7 +152,7 @@
         await self.open(behave)
         answer = await self.run_call()
         go.set()
-        with self.assertRaises(IncompletePayload):
+        with self.assertRaises(PayloadBroken):
             await bounded(self.drain(answer.body.rest))
         self.assertEqual(self.client.pool.users, 0)
 
