--- a/packages/papayabay-core/src/papayabay_core/calls.py
+++ b/packages/papayabay-core/src/papayabay_core/calls.py
@@ -24,7 +24,7 @@
     rest: AsyncIterator[bytes] | None = None
 
     @property
-    def whole(self):
+    def is_complete(self):
         """Whether all of the body is at hand."""
         return self.rest is None
 
@@ -63,7 +63,7 @@
         learned by, so that both stay bounded.
     repeated : bool
         Whether it is another attempt, or made by a run that was one.
-    declared : Importance or None
+    declared_class : Importance or None
         The class that policy gives it, where it stands with a better one;
         see `effective_priority`.
     attempts : int
@@ -93,18 +93,18 @@
     path_key: str = ""
     attempts: int = 0
     repeated: bool = False
-    declared: Importance | None = None
+    declared_class: Importance | None = None
     account: str = ""
     key_digest: str = ""
 
     @property
-    def own_class(self):
+    def policy_class(self):
         """The class by policy, however the call stands in lines.
 
         Those that are kept from a lesser class are let in with the critical
         ones, but what is scarce beyond a slot goes to critical ones first.
         """
-        return self.importance if self.declared is None else self.declared
+        return self.importance if self.declared_class is None else self.declared_class
 
     @property
     def level(self):
@@ -118,7 +118,7 @@
 
 SERVER_ERROR = 500
 """Lowest HTTP status that tells of a failure."""
-MOST_CLOSED = 16
+MAX_PATH_LEVELS = 16
 """Call paths that a `LoadState` names at most, the most refused first."""
 
 
@@ -140,9 +140,9 @@
         Recent time from handing over to answer, milliseconds.
     admit_level : int
         Highest level that this daemon itself admits now, on any path.
-    closed : dict of str to int
+    path_levels : dict of str to int
         Highest level admitted by the services below, for each call path of
-        this service on which they refuse some; see `MOST_CLOSED`.
+        this service on which they refuse some; see `MAX_PATH_LEVELS`.
     """
 
     in_flight: int = 0
@@ -151,7 +151,7 @@
     queue_ms: float = 0.0
     service_ms: float = 0.0
     admit_level: int = ADMIT_ALL
-    closed: dict[str, int] = field(default_factory=dict)
+    path_levels: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/chains.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/chains.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from papayabay_core.calls import MOST_CLOSED
+from papayabay_core.calls import MAX_PATH_LEVELS
 from papayabay_core.importance import ADMIT_ALL
 
 DECAY_RUNS = 256
@@ -72,12 +72,12 @@
         -------
         dict of str to int
             Lowest downstream admission level by path key; at most
-            `MOST_CLOSED` paths, the lowest levels first.
+            `MAX_PATH_LEVELS` paths, the lowest levels first.
         """
         levels = ((path_key, self.level_below(path_key)) for path_key in self.paths)
         closed = [entry for entry in levels if entry[1] < ADMIT_ALL]
         closed.sort(key=lambda entry: entry[1])
-        return dict(closed[:MOST_CLOSED])
+        return dict(closed[:MAX_PATH_LEVELS])
 
     def level_below(self, path_key):
         """Return the lowest level of the services that a path usually calls.
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/calls/flow.py
@@ -139,7 +139,7 @@
         policy = self.components.policy()
         if incoming.host:
             return self.route(policy, incoming)
-        if not policy.knows(incoming.service):
+        if not policy.has_service(incoming.service):
             raise unknown_service(policy, incoming.service)
         return policy.rule_for(incoming.service, incoming.method, incoming.path)
 
@@ -291,7 +291,7 @@
             idempotency_key=incoming.idempotency_key,
             path_key=rule.path_key,
             attempts=rule.attempts,
-            declared=None if importance is declared else declared,
+            declared_class=None if importance is declared else declared,
             account=account.name,
             key_digest=identity.key_digest if identity else "",
         )
@@ -389,7 +389,7 @@
             path_key=rule.path_key,
             attempts=rule.attempts,
             repeated=parent.repeated,
-            declared=parent.declared,
+            declared_class=parent.declared_class,
             account=parent.account,
         )
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/body.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/body.py
@@ -10,7 +10,7 @@
 async def read_message(request, limits):
     """Return the whole body of a small message; BAD_REQUEST when larger."""
     body = await IncomingBody(request, limits).read()
-    if not body.whole:
+    if not body.is_complete:
         raise CallError(ErrorKind.BAD_REQUEST, "the message is too large")
     return body.first
 
@@ -54,7 +54,7 @@
         inline = self.limits.inline_body_bytes
         while self.total < inline:
             parts.append(await self.next_part(inline - self.total))
-            if payload.at_end:
+            if payload.fully_read:
                 return Body(b"".join(parts))
         return Body(b"".join(parts), self.stream())
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
@@ -9,7 +9,7 @@
 
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.http.connection import HttpConnection
-from papayabay_core.http.heads import FieldsReader, Head
+from papayabay_core.http.heads import Head, HeaderCollector
 from papayabay_daemon._internal.http.request import Request
 
 KEEP_ALIVE_SECONDS = 75.0
@@ -71,7 +71,7 @@
         return self.request is not None and self.request.is_concurrent
 
 
-class ServerConnection(FieldsReader, HttpConnection):
+class ServerConnection(HeaderCollector, HttpConnection):
     """One client's connection, on which requests may be pipelined.
 
     Safe requests without a body run at the same time, up to a bound, so that
@@ -241,9 +241,9 @@
             self.begun.append(exchange)
             exchange.task = loop.create_task(self.serve(exchange))
         if len(self.waiting) > self.most_begun:
-            self.hold(WAITING)
-        elif self.holders:
-            self.release(WAITING)
+            self.pause_reading(WAITING)
+        elif self.read_pauses:
+            self.resume_reading(WAITING)
 
     def may_begin(self, exchange):
         """Whether an exchange may begin beside those that run.
@@ -316,8 +316,8 @@
         if wanted or self.closed:
             self.transport.close()
             return
-        if self.holders:
-            self.holders.clear()
+        if self.read_pauses:
+            self.read_pauses.clear()
             self.transport.resume_reading()
         self.transport.write_eof()
         loop = asyncio.get_running_loop()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/answers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/answers.py
@@ -23,7 +23,7 @@
         Bytes. A longer body is returned with what was read so far buffered
         and the remainder still to be streamed.
     """
-    if body.whole:
+    if body.is_complete:
         return body
     parts = [body.first]
     size = len(body.first)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/gate.py
@@ -215,14 +215,14 @@
         await asyncio.gather(*pending, return_exceptions=True)
 
     async def read_body(self, call):
-        """Buffer the whole body within the call's remaining lifetime."""
-        if call.body.whole:
+        """Buffer the is_complete body within the call's remaining lifetime."""
+        if call.body.is_complete:
             return
         try:
             async with asyncio.timeout(call.expires_at - self.clock()):
                 call.body = await answers.read_up_to(call.body, MAX_KEYED_BODY_BYTES)
         except TimeoutError:
             raise CallError(ErrorKind.EXPIRED_UNSENT) from None
-        if not call.body.whole:
+        if not call.body.is_complete:
             detail = f"a keyed call's body is at most {MAX_KEYED_BODY_BYTES} bytes"
             raise CallError(ErrorKind.BODY_TOO_LARGE, detail)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
@@ -97,7 +97,7 @@
             entry.state = KeyState.UNKNOWN
         else:
             entry.state = KeyState.DONE
-            if answer.body.whole:
+            if answer.body.is_complete:
                 self.state.key_table.keep_answer(entry, answers.encode_answer(answer))
         if not entry.first_caller_waits:
             await answers.close_rest(answer.body)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/rows.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/quarantine/rows.py
@@ -69,7 +69,7 @@
         a restored store lacks the row.
         """
         if era > (self.table.era.current or 0):
-            self.table.era.note(era)
+            self.table.era.observe(era)
 
     def log_restored(self):
         """Log once that all rows are in the restored store."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/arrivals.py
@@ -74,7 +74,7 @@
         if not call.repeated:
             return window
         sharers = self.sharers.max_count()
-        if window.try_reserve(retries, sharers, call.own_class):
+        if window.try_reserve(retries, sharers, call.policy_class):
             self.exhaustion_log.admitted(call.service, self.clock())
             return window
         self.counters["refused"] += 1
@@ -94,7 +94,7 @@
         if call.repeated:
             window.record_retry()
             self.counters["arrived"] += 1
-            self.arrived_by_class[call.own_class] += 1
+            self.arrived_by_class[call.policy_class] += 1
         else:
             window.record_first_attempt()
             self.counters["first_attempts"] += 1
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/retries/decision.py
@@ -181,13 +181,13 @@
         """Return why not to retry, or "" after spending a credit."""
         if answer.kind is None and not failed_at_target(answer):
             return "answered"
-        if answer.kind is not None and not ERROR_ANSWERS[answer.kind].elsewhere:
+        if answer.kind is not None and not ERROR_ANSWERS[answer.kind].retry_elsewhere:
             return "final"
         if answer.exhausted:
             return "exhausted-below"
         if is_unsafe(call, answer):
             return "effect-unknown"
-        if not call.body.whole:
+        if not call.body.is_complete:
             return "body-streamed"
         if call.remaining() <= 0.0:
             return "expired"
@@ -229,7 +229,7 @@
         attempts <= decisions.per_hop_retries
         and answer.failed
         and answer.kind is not ErrorKind.EXPIRED
-        and call.body.whole
+        and call.body.is_complete
         and call.remaining() > 0.0
         and not is_unsafe(call, answer)
     )
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
@@ -1,6 +1,6 @@
 """Admission levels that an upstream last reported, of itself and by path."""
 
-from papayabay_core.calls import MOST_CLOSED
+from papayabay_core.calls import MAX_PATH_LEVELS
 from papayabay_core.importance import ADMIT_ALL, RANKS, Importance
 
 HINT_TTL_SECONDS = 0.5
@@ -75,7 +75,7 @@
         lowest_first = sorted(levels.items(), key=lambda entry: entry[1])
         self.path_levels = {
             path: level
-            for path, level in lowest_first[: 2 * MOST_CLOSED]
+            for path, level in lowest_first[: 2 * MAX_PATH_LEVELS]
             if level < NEARLY_ADMIT_ALL
         }
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/client.py
@@ -61,7 +61,7 @@
         is_streamed = False
         try:
             answer = await self.run_before_deadline(call, call_token, pool)
-            is_streamed = not answer.body.whole
+            is_streamed = not answer.body.is_complete
             return answer
         finally:
             if not is_streamed:
@@ -153,7 +153,7 @@
         # that can't be forwarded fails the call at once.
         headers = filter_headers(message.head.fields, self.dialect.names).forwarded
         body = exchange.body(call.remaining)
-        if not body.whole:
+        if not body.is_complete:
             self.watch_stream(body.rest, call, call_token, pool)
             return Answer(status, headers, body)
         # An answer without a length ends when the connection closes. The close
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
@@ -159,7 +159,7 @@
 
 def request_framing(call):
     """Return the header line that frames the body; empty if none is needed."""
-    if not call.body.whole:
+    if not call.body.is_complete:
         has_length = rules.declared_length(call.headers) is not None
         return "" if has_length else "Transfer-Encoding: chunked\r\n"
     size = len(call.body.first)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/discovery.py
@@ -60,7 +60,7 @@
         """Wait for a policy and return the health path in it, or None."""
         for _ in range(MAX_POLICY_POLLS):
             policy = self.policy()
-            if policy.knows(self.target.service):
+            if policy.has_service(self.target.service):
                 return policy.declaration(self.target.service).health_path
             await asyncio.sleep(POLICY_POLL_SECONDS)
         return None
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/exchange.py
@@ -63,11 +63,11 @@
         head : bytes
             Request line and header fields.
         """
-        self.connection.begin(bodiless=call.method == "HEAD")
+        self.connection.start_request(bodiless=call.method == "HEAD")
         body = call.body
-        whole = body.whole and body.first
+        whole = body.is_complete and body.first
         self.connection.transport.write(head + body.first if whole else head)
-        if not body.whole:
+        if not body.is_complete:
             self.upload = asyncio.create_task(self.send_body(call))
 
     async def send_body(self, call):
@@ -101,7 +101,7 @@
         """
         payload = self.message.payload
         while await payload.read(CHUNK_BYTES):
-            if payload.total > self.limits.inline_body_bytes:
+            if payload.received_bytes > self.limits.inline_body_bytes:
                 raise PayloadBroken("a stray answer is too long to skip")
 
     def body(self, remaining):
@@ -113,11 +113,11 @@
             Returns the seconds until the call's deadline.
         """
         payload = self.message.payload
-        if payload.complete and payload.size <= self.limits.inline_body_bytes:
-            body = Body(payload.take_all())
+        if payload.complete and payload.buffered_bytes <= self.limits.inline_body_bytes:
+            body = Body(payload.read_all_nowait())
             self.finish()
             return body
-        first = payload.take_all()
+        first = payload.read_all_nowait()
         return Body(first, AnswerStream(self, remaining))
 
     def discard(self):
--- a/tests/unit/daemon/test_account_calls.py
+++ b/tests/unit/daemon/test_account_calls.py
@@ -60,7 +60,7 @@
     def test_the_class_of_the_account_overrides_that_of_the_path(self):
         call = self.enter(small={"importance": "critical"})
         self.assertEqual(call.importance, Importance.CRITICAL)
-        self.assertEqual(call.own_class, Importance.CRITICAL)
+        self.assertEqual(call.policy_class, Importance.CRITICAL)
 
     def test_paths_rank_calls_within_one_account_class(self):
         """Guards against unimportant paths that displace important ones."""
--- a/tests/unit/daemon/test_arrival_budget.py
+++ b/tests/unit/daemon/test_arrival_budget.py
@@ -113,7 +113,7 @@
         budget = self.warm_budget()
         self.send_first_attempts(budget, 1_000)
         promoted = make_call(repeated=True)
-        promoted.declared = Importance.SHEDDABLE
+        promoted.declared_class = Importance.SHEDDABLE
         with self.assertRaises(CallError):
             for _ in range(400):
                 budget.record_arrival(promoted, budget.check(promoted))
--- a/tests/unit/daemon/test_membership_joining.py
+++ b/tests/unit/daemon/test_membership_joining.py
@@ -57,7 +57,7 @@
         The store is restored from an older copy that lacks the seed rows.
         The daemon that learns of it first is not the writer of its row.
         """
-        self.table.era.note(1)
+        self.table.era.observe(1)
         await self.start_many("ab")
         written = asyncio.Event()
         async with asyncio.timeout(BOUND_SECONDS):
@@ -65,7 +65,7 @@
                 await asyncio.sleep(0.01)
             self.table.rows.clear()
             self.table.before_write = partial(set_event, written)
-            self.table.era.note(2)
+            self.table.era.observe(2)
             await written.wait()
 
     async def test_daemon_that_restarts_in_a_store_outage_is_contacted_at_once(self):
--- a/tests/unit/daemon/test_quarantine_fleet.py
+++ b/tests/unit/daemon/test_quarantine_fleet.py
@@ -128,7 +128,7 @@
         """Only one daemon is told that the store was restored from a copy."""
 
         async def scenario(fleet):
-            fleet.table.era.note(1)
+            fleet.table.era.observe(1)
             await fleet.run_traffic(4.0)
             fleet.table.rows.clear()
             last = fleet.daemons[-1]
--- a/tests/unit/daemon/test_routing_refusals.py
+++ b/tests/unit/daemon/test_routing_refusals.py
@@ -88,7 +88,7 @@
         self.assertFalse(self.table.has_other(call(Importance.SHEDDABLE), ()))
 
     def test_level_of_services_below_applies_to_one_path(self):
-        below = LoadState(limit=10, closed={"stock/look": CRITICAL_ONLY})
+        below = LoadState(limit=10, path_levels={"stock/look": CRITICAL_ONLY})
         for upstream in self.upstreams:
             self.run_attempt(
                 upstream, target_answer(below), a_call=call(Importance.CRITICAL)
