--- a/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
@@ -13,7 +13,7 @@
 from papayabay_bench.fleet import Fleet, FleetPlan
 from papayabay_bench.fleet.documents import CLUSTER
 from papayabay_bench.fleet.policy import CommitRefused
-from papayabay_cli.daemons import hand_over
+from papayabay_cli.daemons import post_patch
 from papayabay_core.configuration import CommitOutcome, ConfigurationLog, new_patch
 from papayabay_core.platform import HttpObjectStore, HttpTableService
 
@@ -141,7 +141,7 @@
     if cut:
         await fleet.platform_faults(down="unavailable")
     url = fleet.door("entry-0", "status_port")
-    await hand_over([url], patch, CLUSTER["secret"])
+    await post_patch([url], patch, CLUSTER["secret"])
     await asyncio.sleep(QUIET_SECONDS)
     await fleet.wait_version(patch.version, SPREAD_SECONDS)
     delays = sorted(
--- a/packages/papayabay-cli/src/papayabay_cli/commands/apply.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/apply.py
@@ -66,7 +66,7 @@
     ------
     UsageError, PolicyError, PlatformError
     """
-    from papayabay_cli.daemons import hand_over
+    from papayabay_cli.daemons import post_patch
     from papayabay_cli.store import load_version
     from papayabay_core.configuration import (
         CommitOutcome,
@@ -83,7 +83,7 @@
     try:
         result = await log.commit(patch)
         if result.outcome is CommitOutcome.ACCEPTED and operator.status_urls:
-            await hand_over(operator.status_urls, patch, operator.cluster_secret)
+            await post_patch(operator.status_urls, patch, operator.cluster_secret)
         return result
     except asyncio.CancelledError:
         # Interrupted by the operator, perhaps after the write was sent. If
--- a/packages/papayabay-cli/src/papayabay_cli/daemons.py
+++ b/packages/papayabay-cli/src/papayabay_cli/daemons.py
@@ -10,7 +10,7 @@
 from papayabay_core.configuration import PROOF_HEADER, encode_patches, prove_patches
 
 TIMEOUT = aiohttp.ClientTimeout(total=60.0, connect=2.0)
-HAND_OVER_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
+POST_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 PATCHES = "/configuration/patches"
 LIFT = "/quarantine/lift"
 
@@ -108,7 +108,7 @@
     """Give a fingerprint to the first daemon that takes it."""
     headers = {PROOF_HEADER: prove_patches(settings.cluster_secret, content)}
     causes = []
-    async with aiohttp.ClientSession(timeout=HAND_OVER_TIMEOUT) as session:
+    async with aiohttp.ClientSession(timeout=POST_TIMEOUT) as session:
         for url in settings.status_urls:
             try:
                 target = url.rstrip("/") + LIFT
@@ -121,7 +121,7 @@
     raise DaemonsUnreachable(f"no daemon took it: {'; '.join(causes)}")
 
 
-async def hand_over(urls, patch, secret):
+async def post_patch(urls, patch, secret):
     """Give a committed patch to the first daemon that takes it.
 
     That none does is no failure: the patch is stored, and the daemons that
@@ -141,7 +141,7 @@
         return
     content = encode_patches([patch])
     headers = {PROOF_HEADER: prove_patches(secret, content)}
-    async with aiohttp.ClientSession(timeout=HAND_OVER_TIMEOUT) as session:
+    async with aiohttp.ClientSession(timeout=POST_TIMEOUT) as session:
         for url in urls:
             try:
                 target = url.rstrip("/") + PATCHES
