--- a/tests/lib/cluster_fakes.py
+++ b/tests/lib/cluster_fakes.py
@@ -105,7 +105,7 @@
     )
 
 
-def seeded(name):
+def seeded_rng(name):
     """Return a random generator that is the same in every run."""
     return random.Random(name)
 
--- a/tests/unit/daemon/account_support.py
+++ b/tests/unit/daemon/account_support.py
@@ -10,7 +10,7 @@
 from papayabay_daemon._internal.accounts import Authenticator
 from papayabay_daemon._internal.doors.headers import end_to_end
 from papayabay_daemon._internal.doors.incoming import Incoming
-from tests.lib.cluster_fakes import seeded
+from tests.lib.cluster_fakes import seeded_rng
 
 KEYS = {"small": "key-of-small", "large": "key-of-large"}
 
@@ -54,7 +54,7 @@
 
 def authenticator_of(policy, freshness=None):
     """Return an authenticator with a seeded generator."""
-    return Authenticator(lambda: policy, freshness or SetFreshness(), seeded("a"))
+    return Authenticator(lambda: policy, freshness or SetFreshness(), seeded_rng("a"))
 
 
 def incoming_with(*fields, dialect, path="/read"):
--- a/tests/unit/daemon/membership_support.py
+++ b/tests/unit/daemon/membership_support.py
@@ -9,7 +9,7 @@
     LinkNetwork,
     MemoryTable,
     make_settings,
-    seeded,
+    seeded_rng,
     until,
 )
 
@@ -36,7 +36,7 @@
         vm = settings.vm.model_copy(update={"gossip_port": gossip_port})
         settings = settings.model_copy(update={"vm": vm})
         links = self.network.links(name)
-        node = Membership(settings, self.table, links, seeded(name))
+        node = Membership(settings, self.table, links, seeded_rng(name))
         node.set_ports(1, 2)
         await node.start()
         self.tasks[name] = asyncio.create_task(node.run())
--- a/tests/unit/daemon/quarantine_fleet.py
+++ b/tests/unit/daemon/quarantine_fleet.py
@@ -23,7 +23,7 @@
     InFlightCall,
     TargetCrash,
 )
-from tests.lib.cluster_fakes import LinkNetwork, MemoryTable, make_settings, seeded
+from tests.lib.cluster_fakes import LinkNetwork, MemoryTable, make_settings, seeded_rng
 from tests.unit.daemon.budget_support import SERVICE, budget_policy
 
 DEADLY = "/deadly"
@@ -55,7 +55,7 @@
         """Begin as a process that knows nothing."""
         fleet, clock = self.fleet, self.fleet.clock
         settings = make_settings(self.name)
-        rng = seeded(f"{self.name} {fleet.seed} {next(self.numbers)}")
+        rng = seeded_rng(f"{self.name} {fleet.seed} {next(self.numbers)}")
         self.up_since = clock()
         self.local = SimpleNamespace(name=self.name)
         self.book = QuarantineRegistry(clock)
@@ -186,7 +186,7 @@
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.seed = seed
-        self.rng = seeded(f"fleet {seed}")
+        self.rng = seeded_rng(f"fleet {seed}")
         self.network = LinkNetwork()
         self.table = MemoryTable()
         self.stable_since = 0.0
--- a/tests/unit/daemon/test_membership_cluster.py
+++ b/tests/unit/daemon/test_membership_cluster.py
@@ -14,7 +14,7 @@
 from tests.lib.cluster_fakes import (
     BOUND_SECONDS,
     make_settings,
-    seeded,
+    seeded_rng,
     until,
 )
 from tests.unit.daemon.membership_support import ClusterTestCase
@@ -77,7 +77,7 @@
             make_settings("a", suspicion_ms=1_000),
             self.table,
             self.network.links("a"),
-            seeded("a"),
+            seeded_rng("a"),
             clock,
         )
         other = await self.start("b")
@@ -132,7 +132,7 @@
         wrong = settings.model_copy(update={"vm": vm})
         links = self.network.links("a")
         with self.assertRaisesRegex(SettingsError, "vm.host.*not an IP address"):
-            Membership(wrong, self.table, links, seeded("a"))
+            Membership(wrong, self.table, links, seeded_rng("a"))
 
 
 class PausingClock:
--- a/tests/unit/daemon/test_membership_exchange.py
+++ b/tests/unit/daemon/test_membership_exchange.py
@@ -19,7 +19,7 @@
 from papayabay_daemon._internal.membership.table import BUCKETS
 from tests.lib.cluster_fakes import (
     make_settings,
-    seeded,
+    seeded_rng,
 )
 from tests.unit.daemon.membership_support import ClusterTestCase
 
@@ -48,7 +48,7 @@
         each page was judged by its own length.
         """
         b = Membership(
-            make_settings("b"), self.table, self.network.links("b"), seeded("b")
+            make_settings("b"), self.table, self.network.links("b"), seeded_rng("b")
         )
         x, y = (
             Member(name, 1, "127.0.0.1", 1, 1, 1, "d1", "r1", "shop") for name in "xy"
@@ -67,7 +67,9 @@
         one page of differences was fetched each half minute.
         """
         a, b = (
-            Membership(make_settings(n), self.table, self.network.links(n), seeded(n))
+            Membership(
+                make_settings(n), self.table, self.network.links(n), seeded_rng(n)
+            )
             for n in "ab"
         )
         for node in (a, b):
@@ -81,7 +83,7 @@
 
     async def test_reconcile_refuses_pages_that_do_not_go_on(self):
         b = Membership(
-            make_settings("b"), self.table, self.network.links("b"), seeded("b")
+            make_settings("b"), self.table, self.network.links("b"), seeded_rng("b")
         )
         digests = [digest ^ 1 for digest in b.exchange.digests_of(0)]
         group = GROUP.pack(0, *digests)
@@ -102,7 +104,7 @@
 
     async def test_malformed_questions_are_refused(self):
         b = Membership(
-            make_settings("b"), self.table, self.network.links("b"), seeded("b")
+            make_settings("b"), self.table, self.network.links("b"), seeded_rng("b")
         )
         for question in (
             bytes((ASK_GROUPS, 0)),
@@ -138,7 +140,9 @@
     async def test_a_peer_that_knows_nobody_is_told_in_pages(self):
         """One message with 13,000 records was above what a link carries."""
         a, b = (
-            Membership(make_settings(n), self.table, self.network.links(n), seeded(n))
+            Membership(
+                make_settings(n), self.table, self.network.links(n), seeded_rng(n)
+            )
             for n in "ab"
         )
         for number in range(4_000):
--- a/tests/unit/daemon/test_membership_joining.py
+++ b/tests/unit/daemon/test_membership_joining.py
@@ -15,7 +15,7 @@
 from tests.lib.cluster_fakes import (
     BOUND_SECONDS,
     make_settings,
-    seeded,
+    seeded_rng,
     until,
 )
 from tests.unit.daemon.membership_support import ClusterTestCase
@@ -181,7 +181,9 @@
 
         self.table.before_write = meet
         nodes = [
-            Membership(make_settings(n), self.table, self.network.links(n), seeded(n))
+            Membership(
+                make_settings(n), self.table, self.network.links(n), seeded_rng(n)
+            )
             for n in "ab"
         ]
         for port, node in enumerate(nodes, start=1):
@@ -198,7 +200,9 @@
         that it was given. Cause: the list was taken in as news.
         """
         a, b = (
-            Membership(make_settings(n), self.table, self.network.links(n), seeded(n))
+            Membership(
+                make_settings(n), self.table, self.network.links(n), seeded_rng(n)
+            )
             for n in "ab"
         )
         for number in range(200):
@@ -219,7 +223,9 @@
         """
         tries = [False] * 9 + [True]
         settings = make_settings("a")
-        node = Membership(settings, self.table, self.network.links("a"), seeded("a"))
+        node = Membership(
+            settings, self.table, self.network.links("a"), seeded_rng("a")
+        )
         joining = node.joining
         with (
             mock.patch.object(joining, "join", side_effect=tries),
--- a/tests/unit/daemon/test_spread_cluster.py
+++ b/tests/unit/daemon/test_spread_cluster.py
@@ -13,7 +13,7 @@
     LinkNetwork,
     MemoryTable,
     make_settings,
-    seeded,
+    seeded_rng,
     until,
 )
 
@@ -47,10 +47,10 @@
         slow = {"gossip_period_ms": 200, "suspicion_ms": 5_000}
         settings = make_settings(name, domain, **slow)
         links = test.network.links(name)
-        self.members = Membership(settings, test.table, links, seeded(name))
+        self.members = Membership(settings, test.table, links, seeded_rng(name))
         self.members.set_ports(1, 2)
         self.configuration = ConfigurationManager(
-            settings, test.log, self.members, links, seeded(name)
+            settings, test.log, self.members, links, seeded_rng(name)
         )
         self.changed = asyncio.Event()
         self.versions = []
