--- a/tests/lib/cluster_fakes.py
+++ b/tests/lib/cluster_fakes.py
@@ -110,7 +110,7 @@
     return random.Random(name)
 
 
-async def until(condition, listen):
+async def wait_for_condition(condition, listen):
     """Wait, with a bound, until a condition holds after some event.
 
     `listen` registers a callback for each event after which the condition
--- a/tests/unit/daemon/membership_support.py
+++ b/tests/unit/daemon/membership_support.py
@@ -10,7 +10,7 @@
     MemoryTable,
     make_settings,
     seeded_rng,
-    until,
+    wait_for_condition,
 )
 
 
@@ -53,4 +53,6 @@
 
     async def all_see(self, nodes, count):
         for node in nodes:
-            await until(lambda n=node: len(n.live()) == count, node.on_change)
+            await wait_for_condition(
+                lambda n=node: len(n.live()) == count, node.on_change
+            )
--- a/tests/unit/daemon/test_membership_cluster.py
+++ b/tests/unit/daemon/test_membership_cluster.py
@@ -15,7 +15,7 @@
     BOUND_SECONDS,
     make_settings,
     seeded_rng,
-    until,
+    wait_for_condition,
 )
 from tests.unit.daemon.membership_support import ClusterTestCase
 
@@ -26,11 +26,13 @@
     async def test_joins_announces_leaves_and_dies(self):
         a, b, c, d = await self.start_many("abcd")
         d.announce("shop", 4)
-        await until(lambda: a.upstreams("shop"), a.on_change)
+        await wait_for_condition(lambda: a.upstreams("shop"), a.on_change)
         self.assertEqual(a.get("d").slots, 4)
         await d.leave()
         for node in (a, b, c):
-            await until(lambda n=node: not n.upstreams("shop"), node.on_change)
+            await wait_for_condition(
+                lambda n=node: not n.upstreams("shop"), node.on_change
+            )
         self.assertEqual(a.get("d").state, MemberState.LEAVING)
         await self.crash("d")
         await self.all_see((a, b, c), 3)
@@ -56,12 +58,12 @@
         """
         a, b, c = await self.start_many("abc")
         b.announce("shop", 4)
-        await until(lambda: a.upstreams("shop"), a.on_change)
+        await wait_for_condition(lambda: a.upstreams("shop"), a.on_change)
         before = b.local.incarnation
         for node in (a, c):
             node.apply(Update("b", before, MemberState.DEAD))
         self.assertIsNone(a.get("b"))
-        await until(lambda: a.upstreams("shop"), a.on_change)
+        await wait_for_condition(lambda: a.upstreams("shop"), a.on_change)
         self.assertGreater(b.local.incarnation, before)
         self.assertGreaterEqual(b.refutations, 1)
 
--- a/tests/unit/daemon/test_membership_joining.py
+++ b/tests/unit/daemon/test_membership_joining.py
@@ -16,7 +16,7 @@
     BOUND_SECONDS,
     make_settings,
     seeded_rng,
-    until,
+    wait_for_condition,
 )
 from tests.unit.daemon.membership_support import ClusterTestCase
 
@@ -128,7 +128,7 @@
             node.exchange.reconcile = mock.AsyncMock()
         nodes[0].announce("shop", 4)
         for node in nodes:
-            await until(lambda n=node: n.upstreams("shop"), node.on_change)
+            await wait_for_condition(lambda n=node: n.upstreams("shop"), node.on_change)
 
     async def test_seeds_while_the_store_is_down_then_back(self):
         self.table.down = True
--- a/tests/unit/daemon/test_spread_cluster.py
+++ b/tests/unit/daemon/test_spread_cluster.py
@@ -14,7 +14,7 @@
     MemoryTable,
     make_settings,
     seeded_rng,
-    until,
+    wait_for_condition,
 )
 
 NODES = 20
@@ -101,7 +101,9 @@
         for node in nodes:
             await asyncio.wait_for(node.configuration.loaded.wait(), BOUND_SECONDS)
             members = node.members
-            await until(lambda m=members: len(m.live()) == count, members.on_change)
+            await wait_for_condition(
+                lambda m=members: len(m.live()) == count, members.on_change
+            )
 
     async def start_many(self, count):
         nodes = [await self.start(f"n{i}", f"d{i % 4}") for i in range(count)]
