--- a/tests/lib/virtual_time.py
+++ b/tests/lib/virtual_time.py
@@ -4,7 +4,7 @@
 import selectors
 
 
-class JumpingSelector:
+class VirtualTimeSelector:
     """Waits for nothing: time jumps to the next timer instead."""
 
     def __init__(self):
@@ -21,7 +21,7 @@
         return self.inner.select(0)
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Runs timers in their order, with no time between them.
 
     Real sockets must not be used: nobody waits for them.
@@ -29,7 +29,7 @@
 
     def __init__(self):
         self.moment = 1_000.0
-        selector = JumpingSelector()
+        selector = VirtualTimeSelector()
         super().__init__(selector)
         selector.jump = self.advance
 
@@ -40,7 +40,7 @@
         return self.moment
 
 
-def run_virtually(main):
+def run_in_virtual_time(main):
     """Run a coroutine function to its end in virtual time."""
-    with asyncio.Runner(loop_factory=VirtualLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main())
--- a/tests/unit/daemon/limits_fleet.py
+++ b/tests/unit/daemon/limits_fleet.py
@@ -24,7 +24,7 @@
 from papayabay_daemon._internal.accounts.buckets import TokenBucket
 from papayabay_daemon._internal.interfaces import Member
 from papayabay_daemon._internal.membership.membership import UNMET_RECENT_SECONDS
-from tests.lib.virtual_time import run_virtually
+from tests.lib.virtual_time import run_in_virtual_time
 
 DOMAINS = 4
 SEEDS_PER_DOMAIN = 8
@@ -281,7 +281,7 @@
         await fleet.close()
         return fleet
 
-    return run_virtually(main)
+    return run_in_virtual_time(main)
 
 
 USUAL = 30.0
--- a/tests/unit/daemon/test_confirmations.py
+++ b/tests/unit/daemon/test_confirmations.py
@@ -10,7 +10,7 @@
 from papayabay_daemon._internal.configuration.messages import Offer
 from papayabay_daemon._internal.configuration.state import ConfigurationState
 from papayabay_daemon._internal.configuration.watching import VersionWatcher
-from tests.lib.virtual_time import run_virtually
+from tests.lib.virtual_time import run_in_virtual_time
 
 BOUND_S = 5.0
 VALUES = {"authentication": {"max_staleness_ms": int(BOUND_S * 1_000)}}
@@ -270,7 +270,7 @@
         await fleet.run(trouble)
         return fleet
 
-    return run_virtually(main)
+    return run_in_virtual_time(main)
 
 
 class FleetTests(unittest.TestCase):
--- a/tests/unit/daemon/test_quarantine_fleet.py
+++ b/tests/unit/daemon/test_quarantine_fleet.py
@@ -7,7 +7,7 @@
 from papayabay_core.errors import ErrorKind
 from papayabay_daemon._internal.quarantine.messages import describe, encode
 from papayabay_daemon._internal.target.crash_detector import PROPAGATION_DELAY_S
-from tests.lib.virtual_time import run_virtually
+from tests.lib.virtual_time import run_in_virtual_time
 from tests.unit.daemon.quarantine_fleet import CONTACT_S, DEADLY, QuarantineFleet
 
 MOST_LATE = 3
@@ -28,7 +28,7 @@
             await fleet.close()
             return fleet
 
-        return run_virtually(main)
+        return run_in_virtual_time(main)
 
     def test_it_ends_three_targets_at_most(self):
         async def scenario(fleet):
@@ -186,7 +186,7 @@
         await fleet.close()
         return fleet
 
-    return run_virtually(main)
+    return run_in_virtual_time(main)
 
 
 async def play_part(fleet, rng):
