--- a/tests/lib/cluster_fakes.py
+++ b/tests/lib/cluster_fakes.py
@@ -56,7 +56,7 @@
 
     def __init__(self):
         self.handlers = {}
-        self.cut = set()
+        self.partitioned = set()
         self.bytes = {}
 
     def links(self, name):
@@ -78,7 +78,7 @@
         network = self.network
         await asyncio.sleep(0)
         gone = peer.name not in network.handlers
-        if gone or {peer.name, self.name} & network.cut:
+        if gone or {peer.name, self.name} & network.partitioned:
             raise ProtocolError(f"no link to {peer.name}")
         handler = network.handlers[peer.name].get(topic)
         if handler is None:
--- a/tests/unit/daemon/membership_support.py
+++ b/tests/unit/daemon/membership_support.py
@@ -43,7 +43,7 @@
         return node
 
     async def crash(self, name):
-        self.network.cut.add(name)
+        self.network.partitioned.add(name)
         await self.stop_task(self.tasks.pop(name))
 
     async def start_many(self, names):
--- a/tests/unit/daemon/quarantine_fleet.py
+++ b/tests/unit/daemon/quarantine_fleet.py
@@ -220,8 +220,8 @@
         """Cut one daemon off from all others."""
         daemon = self.daemons[number % len(self.daemons)]
         daemon.cut_until = self.clock() + seconds
-        self.network.cut.add(daemon.name)
-        self.loop.call_later(seconds, self.network.cut.discard, daemon.name)
+        self.network.partitioned.add(daemon.name)
+        self.loop.call_later(seconds, self.network.partitioned.discard, daemon.name)
 
     def store_down(self, seconds):
         """Keep all from the store."""
@@ -231,10 +231,12 @@
 
     def others_of(self, daemon):
         """Return the daemons that one hears."""
-        cut = self.network.cut
-        if daemon.name in cut:
+        partitioned = self.network.partitioned
+        if daemon.name in partitioned:
             return []
-        return [o for o in self.daemons if o is not daemon and o.name not in cut]
+        return [
+            o for o in self.daemons if o is not daemon and o.name not in partitioned
+        ]
 
     async def send(self, path, entry=None):
         """Send one attempt of a client; return the last answer's kind."""
--- a/tests/unit/daemon/test_membership_joining.py
+++ b/tests/unit/daemon/test_membership_joining.py
@@ -81,7 +81,7 @@
         await self.crash("c")
         await self.all_see((a,), 1)
         self.table.down = True
-        self.network.cut.discard("b")
+        self.network.partitioned.discard("b")
         begun = a.detector.periods
         b = await self.start("b", gossip_port=port)
         await self.all_see((a, b), 2)
@@ -103,7 +103,7 @@
             await self.crash(name)
         self.table.rows.clear()
         await self.table.write([Put(f"{PREFIX}d1", row)])
-        self.network.cut.clear()
+        self.network.partitioned.clear()
         slow = {"gossip_period_ms": 600_000}
         with (
             mock.patch.object(Detector, "start_period"),
--- a/tests/unit/daemon/test_spread_cluster.py
+++ b/tests/unit/daemon/test_spread_cluster.py
@@ -158,7 +158,7 @@
             local = peer.members.local
             late.members.table.add(update_of(local))
         b.configuration.apply_patches([new_patch(1, {"services": {"x": {}}})])
-        self.network.cut.add("a")
+        self.network.partitioned.add("a")
         a.configuration.puller.offers.clear()
         await late.configuration.load_first()
         status = late.configuration.status()
@@ -247,7 +247,7 @@
         with self.assertRaises(PlatformError):
             self.table.down = True
             await self.log.head()
-        self.network.cut.add("a")
+        self.network.partitioned.add("a")
         self.assertFalse(await other.configuration.puller.pull(node.members.local))
         self.assertEqual(other.configuration.counts["pull_errors"], 1)
 
