--- a/tests/unit/daemon/account_support.py
+++ b/tests/unit/daemon/account_support.py
@@ -10,7 +10,7 @@
 from papayabay_daemon._internal.accounts import Authenticator
 from papayabay_daemon._internal.doors.headers import filter_headers
 from papayabay_daemon._internal.doors.incoming import IncomingRequest
-from tests.lib.cluster_fakes import seeded
+from tests.lib.cluster_fakes import seeded_rng
 
 KEYS = {"small": "key-of-small", "large": "key-of-large"}
 
@@ -57,7 +57,7 @@
 
 def authenticator_of(policy, freshness=None):
     """Return an authenticator with a seeded generator."""
-    return Authenticator(lambda: policy, freshness or FakeFreshness(), seeded("a"))
+    return Authenticator(lambda: policy, freshness or FakeFreshness(), seeded_rng("a"))
 
 
 def incoming_with(*fields, dialect, path="/read"):
--- a/tests/unit/daemon/membership_support.py
+++ b/tests/unit/daemon/membership_support.py
@@ -9,8 +9,8 @@
     LinkNetwork,
     MemoryTable,
     make_settings,
-    seeded,
-    until,
+    seeded_rng,
+    wait_for_condition,
 )
 
 
@@ -36,14 +36,14 @@
         vm = settings.vm.model_copy(update={"gossip_port": gossip_port})
         settings = settings.model_copy(update={"vm": vm})
         links = self.network.links(name)
-        node = Membership(settings, self.table, links, seeded(name))
+        node = Membership(settings, self.table, links, seeded_rng(name))
         node.set_ports(1, 2)
         await node.start()
         self.tasks[name] = asyncio.create_task(node.run())
         return node
 
     async def crash(self, name):
-        self.network.cut.add(name)
+        self.network.partitioned.add(name)
         await self.stop_task(self.tasks.pop(name))
 
     async def start_many(self, names):
@@ -54,4 +54,6 @@
     async def all_see(self, nodes, count):
         """Wait until each node has `count` live members."""
         for node in nodes:
-            await until(lambda n=node: len(n.live()) == count, node.on_change)
+            await wait_for_condition(
+                lambda n=node: len(n.live()) == count, node.on_change
+            )
--- a/tests/unit/daemon/quarantine_fleet.py
+++ b/tests/unit/daemon/quarantine_fleet.py
@@ -23,7 +23,7 @@
     InFlightCall,
     TargetCrash,
 )
-from tests.lib.cluster_fakes import LinkNetwork, MemoryTable, make_settings, seeded
+from tests.lib.cluster_fakes import LinkNetwork, MemoryTable, make_settings, seeded_rng
 from tests.unit.daemon.budget_support import SERVICE, budget_policy
 
 CRASHING_PATH = "/deadly"
@@ -56,7 +56,7 @@
         """Start as a process without state."""
         fleet, clock = self.fleet, self.fleet.clock
         settings = make_settings(self.name)
-        rng = seeded(f"{self.name} {fleet.seed} {next(self.numbers)}")
+        rng = seeded_rng(f"{self.name} {fleet.seed} {next(self.numbers)}")
         self.up_since = clock()
         self.local = SimpleNamespace(name=self.name)
         self.registry = QuarantineRegistry(clock)
@@ -191,7 +191,7 @@
         self.loop = asyncio.get_running_loop()
         self.clock = self.loop.time
         self.seed = seed
-        self.rng = seeded(f"fleet {seed}")
+        self.rng = seeded_rng(f"fleet {seed}")
         self.network = LinkNetwork()
         self.table = MemoryTable()
         self.store_up_since = 0.0
@@ -225,8 +225,8 @@
         """Isolate one daemon from all others."""
         daemon = self.daemons[number % len(self.daemons)]
         daemon.isolated_until = self.clock() + seconds
-        self.network.cut.add(daemon.name)
-        self.loop.call_later(seconds, self.network.cut.discard, daemon.name)
+        self.network.partitioned.add(daemon.name)
+        self.loop.call_later(seconds, self.network.partitioned.discard, daemon.name)
 
     def store_down(self, seconds):
         """Make the store unavailable to all daemons."""
@@ -236,13 +236,13 @@
 
     def others_of(self, daemon):
         """Return the daemons that a daemon can reach."""
-        cut = self.network.cut
-        if daemon.name in cut:
+        partitioned = self.network.partitioned
+        if daemon.name in partitioned:
             return []
         return [
             other
             for other in self.daemons
-            if other is not daemon and other.name not in cut
+            if other is not daemon and other.name not in partitioned
         ]
 
     async def send(self, path, entry=None):
--- a/tests/unit/daemon/test_membership_joining.py
+++ b/tests/unit/daemon/test_membership_joining.py
@@ -15,8 +15,8 @@
 from tests.lib.cluster_fakes import (
     BOUND_SECONDS,
     make_settings,
-    seeded,
-    until,
+    seeded_rng,
+    wait_for_condition,
 )
 from tests.unit.daemon.membership_support import ClusterTestCase
 
@@ -81,7 +81,7 @@
         await self.crash("c")
         await self.all_see((a,), 1)
         self.table.down = True
-        self.network.cut.discard("b")
+        self.network.partitioned.discard("b")
         periods_before = a.detector.periods
         b = await self.start("b", gossip_port=port)
         await self.all_see((a, b), 2)
@@ -104,7 +104,7 @@
             await self.crash(name)
         self.table.rows.clear()
         await self.table.write([Put(f"{PREFIX}d1", row)])
-        self.network.cut.clear()
+        self.network.partitioned.clear()
         slow = {"gossip_period_ms": 600_000}
         with (
             mock.patch.object(Detector, "start_period"),
@@ -129,7 +129,7 @@
             node.exchange.reconcile = mock.AsyncMock()
         nodes[0].announce("shop", 4)
         for node in nodes:
-            await until(lambda n=node: n.upstreams("shop"), node.on_change)
+            await wait_for_condition(lambda n=node: n.upstreams("shop"), node.on_change)
 
     async def test_daemons_join_after_a_store_outage(self):
         self.table.down = True
@@ -182,7 +182,9 @@
 
         self.table.before_write = wait_for_both
         nodes = [
-            Membership(make_settings(n), self.table, self.network.links(n), seeded(n))
+            Membership(
+                make_settings(n), self.table, self.network.links(n), seeded_rng(n)
+            )
             for n in "ab"
         ]
         for port, node in enumerate(nodes, start=1):
@@ -199,7 +201,9 @@
         that it had fetched. Cause: all of them counted as new updates.
         """
         a, b = (
-            Membership(make_settings(n), self.table, self.network.links(n), seeded(n))
+            Membership(
+                make_settings(n), self.table, self.network.links(n), seeded_rng(n)
+            )
             for n in "ab"
         )
         for number in range(200):
@@ -220,7 +224,9 @@
         """
         attempts = [False] * 9 + [True]
         settings = make_settings("a")
-        node = Membership(settings, self.table, self.network.links("a"), seeded("a"))
+        node = Membership(
+            settings, self.table, self.network.links("a"), seeded_rng("a")
+        )
         joining = node.joining
         with (
             mock.patch.object(joining, "join", side_effect=attempts),
--- a/tests/unit/daemon/test_quarantine_fleet.py
+++ b/tests/unit/daemon/test_quarantine_fleet.py
@@ -7,7 +7,7 @@
 from papayabay_core.errors import ErrorKind
 from papayabay_daemon._internal.quarantine.messages import describe, encode
 from papayabay_daemon._internal.target.crash_detector import PROPAGATION_DELAY_S
-from tests.lib.virtual_time import run_virtually
+from tests.lib.virtual_time import run_in_virtual_time
 from tests.unit.daemon.quarantine_fleet import (
     CONVERGENCE_S,
     CRASHING_PATH,
@@ -33,7 +33,7 @@
             await fleet.close()
             return fleet
 
-        return run_virtually(main)
+        return run_in_virtual_time(main)
 
     def test_it_crashes_at_most_three_targets(self):
         async def scenario(fleet):
@@ -192,7 +192,7 @@
         await fleet.close()
         return fleet
 
-    return run_virtually(main)
+    return run_in_virtual_time(main)
 
 
 async def run_segment(fleet, rng):
--- a/tests/unit/daemon/test_spread_cluster.py
+++ b/tests/unit/daemon/test_spread_cluster.py
@@ -13,8 +13,8 @@
     LinkNetwork,
     MemoryTable,
     make_settings,
-    seeded,
-    until,
+    seeded_rng,
+    wait_for_condition,
 )
 
 NODES = 20
@@ -47,10 +47,10 @@
         slow = {"gossip_period_ms": 200, "suspicion_ms": 5_000}
         settings = make_settings(name, domain, **slow)
         links = test.network.links(name)
-        self.members = Membership(settings, test.table, links, seeded(name))
+        self.members = Membership(settings, test.table, links, seeded_rng(name))
         self.members.set_ports(1, 2)
         self.configuration = ConfigurationManager(
-            settings, test.log, self.members, links, seeded(name)
+            settings, test.log, self.members, links, seeded_rng(name)
         )
         self.changed = asyncio.Event()
         self.versions = []
@@ -105,7 +105,9 @@
         for node in nodes:
             await asyncio.wait_for(node.configuration.loaded.wait(), BOUND_SECONDS)
             members = node.members
-            await until(lambda m=members: len(m.live()) == count, members.on_change)
+            await wait_for_condition(
+                lambda m=members: len(m.live()) == count, members.on_change
+            )
 
     async def start_many(self, count):
         nodes = [await self.start(f"n{i}", f"d{i % 4}") for i in range(count)]
@@ -164,7 +166,7 @@
             local = peer.members.local
             late.members.table.add(update_of(local))
         b.configuration.apply_patches([new_patch(1, {"services": {"x": {}}})])
-        self.network.cut.add("a")
+        self.network.partitioned.add("a")
         a.configuration.puller.offers.clear()
         await late.configuration.load_first()
         status = late.configuration.status()
@@ -256,7 +258,7 @@
         with self.assertRaises(PlatformError):
             self.table.down = True
             await self.log.head()
-        self.network.cut.add("a")
+        self.network.partitioned.add("a")
         self.assertFalse(await other.configuration.puller.pull(node.members.local))
         self.assertEqual(other.configuration.counts["pull_errors"], 1)
 
