--- a/packages/papayabay-bench/src/papayabay_bench/capacity/alone.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/alone.py
@@ -7,7 +7,7 @@
 from papayabay_bench.capacity.crowd import Crowd, daemon_model
 from papayabay_bench.capacity.usage import usage_of
 from papayabay_bench.fleet import Fleet, FleetPlan
-from papayabay_bench.fleet.documents import daemon_settings
+from papayabay_bench.fleet.settings import daemon_settings
 from papayabay_core.platform import HttpTableService, Put
 from papayabay_daemon._internal.configuration.readers import PURPOSE
 from papayabay_daemon._internal.interfaces import Member
--- a/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
@@ -11,8 +11,8 @@
 )
 from papayabay_bench.capacity.usage import usage_of
 from papayabay_bench.fleet import Fleet, FleetPlan
-from papayabay_bench.fleet.documents import CLUSTER
 from papayabay_bench.fleet.policy import CommitRefused
+from papayabay_bench.fleet.settings import CLUSTER
 from papayabay_cli.daemons import hand_over
 from papayabay_core.configuration import CommitOutcome, ConfigurationLog, new_patch
 from papayabay_core.platform import HttpObjectStore, HttpTableService
--- a/packages/papayabay-bench/src/papayabay_bench/fleet/fleet.py
+++ b/packages/papayabay-bench/src/papayabay_bench/fleet/fleet.py
@@ -9,10 +9,10 @@
 
 import aiohttp
 
-from papayabay_bench.fleet.documents import daemon_settings, platform_urls, to_toml
 from papayabay_bench.fleet.plan import daemon_names, target_specs
 from papayabay_bench.fleet.policy import commit_patch
 from papayabay_bench.fleet.process import ManagedProcess
+from papayabay_bench.fleet.settings import daemon_settings, platform_urls, to_toml
 from papayabay_bench.fleet.waiting import wait_until
 from papayabay_bench.targets.outgoing import SERVICE_HEADER
 from papayabay_bench.targets.server import LOAD_PATH
--- a/tests/functional/test_cli_fleet.py
+++ b/tests/functional/test_cli_fleet.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from papayabay_bench.fleet import Fleet, FleetPlan, ServicePlan
-from papayabay_bench.fleet.documents import CLUSTER
+from papayabay_bench.fleet.settings import CLUSTER
 from papayabay_bench.targets.outgoing import SERVICE_HEADER
 from papayabay_bench.targets.specification import CallPath
 from papayabay_cli.daemons import PATCHES
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -4,7 +4,7 @@
 import unittest
 
 from papayabay_bench.fleet import Fleet, FleetPlan, ServicePlan
-from papayabay_bench.fleet.documents import CLUSTER
+from papayabay_bench.fleet.settings import CLUSTER
 from papayabay_bench.fleet.waiting import wait_until
 from papayabay_bench.history.system import TIMING
 from papayabay_bench.load.client import kind_of
--- a/tests/unit/bench/test_targets_fleet.py
+++ b/tests/unit/bench/test_targets_fleet.py
@@ -4,9 +4,9 @@
 import unittest
 from pathlib import Path
 
-from papayabay_bench.fleet.documents import daemon_settings, to_toml
 from papayabay_bench.fleet.plan import FleetPlan, ServicePlan, daemon_names
 from papayabay_bench.fleet.process import ManagedProcess, StartFailed
+from papayabay_bench.fleet.settings import daemon_settings, to_toml
 from papayabay_bench.targets.specification import CallPath
 from papayabay_core.settings import load_settings
 
