--- a/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
@@ -140,7 +140,7 @@
     committed_at = time.time()
     if cut:
         await fleet.platform_faults(down="unavailable")
-    url = fleet.door("entry-0", "status_port")
+    url = fleet.listener_url("entry-0", "status_port")
     await hand_over([url], patch, CLUSTER["secret"])
     await asyncio.sleep(QUIET_SECONDS)
     await fleet.wait_version(patch.version, SPREAD_SECONDS)
--- a/packages/papayabay-bench/src/papayabay_bench/fleet/fleet.py
+++ b/packages/papayabay-bench/src/papayabay_bench/fleet/fleet.py
@@ -148,7 +148,7 @@
 
     def caller_url(self, name):
         """Return the caller door of a daemon."""
-        return self.door(name, "caller_port")
+        return self.listener_url(name, "caller_port")
 
     def caller_urls(self):
         """Return the caller doors of all daemons that run."""
@@ -157,9 +157,9 @@
 
     def target_url(self, name):
         """Return the target door of a daemon."""
-        return self.door(name, "target_port")
+        return self.listener_url(name, "target_port")
 
-    def door(self, name, port):
+    def listener_url(self, name, port):
         """Return the URL of one of a daemon's doors."""
         return f"http://{HOST}:{self.daemons[name].ready[port]}"
 
@@ -182,7 +182,7 @@
 
     async def status(self, name):
         """Return a daemon's status."""
-        url = self.door(name, "status_port") + "/status"
+        url = self.listener_url(name, "status_port") + "/status"
         return await self.exchange("GET", url)
 
     def kill(self, name, number=signal.SIGKILL):
--- a/packages/papayabay-bench/src/papayabay_bench/history/observer.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/observer.py
@@ -47,7 +47,7 @@
     async def record_documents(self):
         """Record the values that each daemon has in force."""
         for daemon in self.fleet.daemons:
-            url = self.fleet.door(daemon, "status_port") + "/policy"
+            url = self.fleet.listener_url(daemon, "status_port") + "/policy"
             page = await self.fleet.exchange("GET", url)
             self.recorder.add(Document(daemon, page["version"], page["values"], now()))
 
--- a/tests/functional/test_accounts.py
+++ b/tests/functional/test_accounts.py
@@ -83,7 +83,9 @@
         self.assertEqual(await self.call(KEYS["kiosk"]), (401, "unauthenticated"))
         seen = [self.answered]
         names = list(self.fleet.daemons)
-        self.write_settings([self.fleet.door(name, "status_port") for name in names])
+        self.write_settings(
+            [self.fleet.listener_url(name, "status_port") for name in names]
+        )
         listed = await self.run_cli("accounts", "list", "--json")
         page = listed.values
         self.assertEqual(list(page["accounts"]), ["shop"])
--- a/tests/functional/test_cli_fleet.py
+++ b/tests/functional/test_cli_fleet.py
@@ -48,7 +48,7 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.fleet = await self.enterAsyncContext(Fleet(PLAN))
-        url = self.fleet.door("orders-0", "status_port")
+        url = self.fleet.listener_url("orders-0", "status_port")
         platform = self.fleet.platform_url
         self.settings = self.write(
             "papayabay.toml",
@@ -126,7 +126,7 @@
         Cause: the door took patches from whoever reached it.
         """
         content = encode_patches([new_patch(1, {"services": {}}, "nobody", "")])
-        url = self.fleet.door("orders-0", "status_port") + PATCHES
+        url = self.fleet.listener_url("orders-0", "status_port") + PATCHES
         other = prove_patches("another secret", content)
         for headers in ({}, {PROOF_HEADER: other}, {PROOF_HEADER: "é"}):
             async with self.fleet.session.post(
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -160,7 +160,7 @@
 
 class OperatorTests(QuarantineCase):
     async def test_operators_see_and_lift_what_is_held_back(self):
-        url = self.fleet.door(self.entries[0], "status_port")
+        url = self.fleet.listener_url(self.entries[0], "status_port")
         self.settings = self.write(
             "papayabay.toml",
             f'status_urls = ["{url}"]\ncluster_secret = "{CLUSTER["secret"]}"\n'
