--- a/packages/papayabay-bench/src/papayabay_bench/capacity/configuration.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/configuration.py
@@ -8,7 +8,7 @@
 from statistics import median
 
 from papayabay_bench.capacity.alone import alone
-from papayabay_bench.fleet.waiting import PERIOD, wait_until
+from papayabay_bench.fleet.waiting import POLL_SECONDS, wait_until
 from papayabay_core.configuration import Configuration, new_patch
 from papayabay_core.configuration.snapshot import encode_configuration
 from papayabay_daemon._internal.configuration.version import VersionInForce
@@ -168,7 +168,7 @@
     before, started = daemon.usage(), time.monotonic()
     while time.monotonic() - started < window:
         await wait_until(daemon.status, IN_FORCE_SECONDS, "a status page")
-        await asyncio.sleep(PERIOD)
+        await asyncio.sleep(POLL_SECONDS)
     seconds = time.monotonic() - started
     return (daemon.usage().processor - before.processor) / seconds
 
--- a/packages/papayabay-bench/src/papayabay_bench/fleet/waiting.py
+++ b/packages/papayabay-bench/src/papayabay_bench/fleet/waiting.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-PERIOD = 0.05
+POLL_SECONDS = 0.05
 
 
 async def wait_until(condition, timeout, what):
@@ -28,5 +28,5 @@
         found = await condition()
         if found:
             return found
-        await asyncio.sleep(PERIOD)
+        await asyncio.sleep(POLL_SECONDS)
     raise TimeoutError(f"{what}: not within {timeout} s")
