--- a/packages/papayabay-bench/src/papayabay_bench/commands/check.py
+++ b/packages/papayabay-bench/src/papayabay_bench/commands/check.py
@@ -27,13 +27,13 @@
             File of a history that was kept: check it again, run nothing.
         """
         from papayabay_bench.commands.run import seed_numbers
-        from papayabay_bench.history.schedule import checked_kinds
+        from papayabay_bench.history.schedule import validate_kinds
 
         if history:
             return check_file(history)
         listed = faults.split(",") if isinstance(faults, str) else map(str, faults)
         try:
-            kinds = checked_kinds([name.strip() for name in listed if name.strip()])
+            kinds = validate_kinds([name.strip() for name in listed if name.strip()])
             numbers = seed_numbers(0, as_range(seeds))
         except ValueError as error:
             print(error, file=sys.stderr)
@@ -62,10 +62,10 @@
     """Check a kept history, print its violations, return the exit code."""
     from papayabay_bench.history.jobs import report
     from papayabay_bench.history.records import read_history
-    from papayabay_bench.history.run import judge
+    from papayabay_bench.history.run import evaluate
 
     try:
-        result = judge(read_history(str(path)))
+        result = evaluate(read_history(str(path)))
     except (OSError, ValueError) as error:
         print(error, file=sys.stderr)
         return UNREADABLE
--- a/packages/papayabay-bench/src/papayabay_bench/history/jobs.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/jobs.py
@@ -10,7 +10,7 @@
 from papayabay_bench.fleet.fleet import Fleet
 from papayabay_bench.fleet.process import StartFailed
 from papayabay_bench.history.records import write_history
-from papayabay_bench.history.run import judge, not_recovered, ready_fleet, run_seed
+from papayabay_bench.history.run import evaluate, not_recovered, prepare_fleet, run_seed
 from papayabay_bench.history.summary import seed_line
 from papayabay_bench.history.system import fleet_plan
 from papayabay_bench.history.violations import violation_lines
@@ -67,7 +67,7 @@
     first = remaining[0]
     directory = f"{keep}/fleet-{first}" if keep else None
     async with Fleet(fleet_plan(first), directory) as fleet:
-        await ready_fleet(fleet)
+        await prepare_fleet(fleet)
         while remaining:
             seed = remaining.pop(0)
             result = await run_and_judge(fleet, seed, kinds, keep)
@@ -85,7 +85,7 @@
         return not_recovered(seed, error)
     if keep:
         write_history(history, Path(keep) / f"seed-{seed}.jsonl")
-    return judge(history)
+    return evaluate(history)
 
 
 def report(result):
--- a/packages/papayabay-bench/src/papayabay_bench/history/run.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/run.py
@@ -63,7 +63,7 @@
     violations: list = field(default_factory=list)
 
 
-async def ready_fleet(fleet):
+async def prepare_fleet(fleet):
     """Commit the policy and wait until every daemon reaches everything."""
     await fleet.wait_members(READY_SECONDS)
     await fleet.wait_version(await fleet.apply(policy()), READY_SECONDS)
@@ -182,7 +182,7 @@
     return [record for record in everything if record.attempt.startswith(prefix)]
 
 
-def judge(history):
+def evaluate(history):
     """Check a history and count what is in it."""
     begun = [one for one in history.of(Fault) if one.phase == Phase.BEGIN.value]
     return SeedResult(
--- a/packages/papayabay-bench/src/papayabay_bench/history/schedule.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/schedule.py
@@ -92,7 +92,7 @@
     patches: tuple
 
 
-def checked_kinds(kinds):
+def validate_kinds(kinds):
     """Return kinds of fault, all without any.
 
     Raises
@@ -172,7 +172,7 @@
         deadline=None,
         suppress_health_check=list(HealthCheck),
     )
-    @hypothesis.given(schedules(checked_kinds(kinds)))
+    @hypothesis.given(schedules(validate_kinds(kinds)))
     def take(schedule):
         drawn.append(schedule)
 
--- a/tests/functional/test_faults_daemons.py
+++ b/tests/functional/test_faults_daemons.py
@@ -237,10 +237,10 @@
         import signal
 
         from papayabay_bench.history import system
-        from papayabay_bench.history.run import ready_fleet
+        from papayabay_bench.history.run import prepare_fleet
 
         async with Fleet(system.fleet_plan(1)) as fleet:
-            await ready_fleet(fleet)
+            await prepare_fleet(fleet)
             fleet.kill("entry-0", signal.SIGUSR1)
             url = fleet.caller_url("entry-0") + system.BROWSE_PATH
             headers = {"Papayabay-Service": system.FRONT, "Bench-Nonce": "n"}
--- a/tests/unit/bench/test_history_schedule.py
+++ b/tests/unit/bench/test_history_schedule.py
@@ -3,8 +3,8 @@
 from papayabay_bench.history.schedule import (
     SUBJECTS,
     UnknownFault,
-    checked_kinds,
     draw_schedule,
+    validate_kinds,
 )
 
 SEEDS = range(40)
@@ -34,9 +34,9 @@
             self.assertEqual(kinds, {"kill"})
 
     def test_unknown_kinds_are_refused_by_name(self):
-        self.assertEqual(checked_kinds([]), tuple(SUBJECTS))
+        self.assertEqual(validate_kinds([]), tuple(SUBJECTS))
         with self.assertRaisesRegex(UnknownFault, "flood; there are store-down"):
-            checked_kinds(["kill", "flood"])
+            validate_kinds(["kill", "flood"])
 
 
 if __name__ == "__main__":
