--- a/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
@@ -11,7 +11,6 @@
 )
 from papayabay_bench.capacity.usage import usage_of
 from papayabay_bench.fleet import Fleet, FleetPlan
-from papayabay_bench.fleet.documents import CLUSTER
 from papayabay_bench.fleet.policy import CommitRefused
 from papayabay_cli.daemons import post_patch
 from papayabay_core.configuration import CommitOutcome, ConfigurationLog, new_patch
@@ -140,7 +139,7 @@
     committed_at = time.time()
     if cut:
         await fleet.platform_faults(down="unavailable")
-    url = fleet.door("entry-0", "status_port")
+    url = fleet.listener_url("entry-0", "status_port")
     await post_patch([url], patch, CLUSTER["secret"])
     await asyncio.sleep(QUIET_SECONDS)
     await fleet.wait_version(patch.version, SPREAD_SECONDS)
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -4,7 +4,7 @@
 import unittest
 
 from papayabay_bench.fleet import Fleet, FleetPlan, ServicePlan
-from papayabay_bench.fleet.documents import CLUSTER
+from papayabay_bench.fleet.settings import CLUSTER
 from papayabay_bench.fleet.waiting import wait_until
 from papayabay_bench.history.system import TIMING
 from papayabay_bench.load.client import kind_of
@@ -160,7 +160,7 @@
 
 class OperatorTests(QuarantineCase):
     async def test_operators_see_and_lift_what_is_held_back(self):
-        url = self.fleet.door(self.entries[0], "status_port")
+        url = self.fleet.listener_url(self.entries[0], "status_port")
         self.settings = self.write(
             "papayabay.toml",
             f'status_urls = ["{url}"]\ncluster_secret = "{CLUSTER["secret"]}"\n'
