--- a/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
+++ b/packages/papayabay-bench/src/papayabay_bench/capacity/spread.py
@@ -12,6 +12,7 @@
 from papayabay_bench.capacity.usage import usage_of
 from papayabay_bench.fleet import Fleet, FleetPlan
 from papayabay_bench.fleet.policy import CommitRefused
+from papayabay_bench.fleet.settings import CLUSTER
 from papayabay_cli.daemons import post_patch
 from papayabay_core.configuration import CommitOutcome, ConfigurationLog, new_patch
 from papayabay_core.platform import HttpObjectStore, HttpTableService
--- a/tests/unit/daemon/test_arrival_budget.py
+++ b/tests/unit/daemon/test_arrival_budget.py
@@ -215,9 +215,9 @@
         self.admit_many(budget, 2, Importance.SHEDDABLE)
         self.admit_many(budget, 1)
         gauges = budget.gauges()
-        self.assertAlmostEqual(levels.pop("allowed"), 0.9 * (0.1 * 100 + 12))
+        self.assertAlmostEqual(gauges.pop("allowed"), 0.9 * (0.1 * 100 + 12))
         expected = {"repeats": 3, "firsts": 100, "sharers": 4, "age_s": WINDOW_S}
-        self.assertEqual(levels, expected)
+        self.assertEqual(gauges, expected)
         totals = budget.totals()
         by_class = {"critical": 1, "normal": 0, "sheddable": 2}
         self.assertEqual(totals["arrived_by_class"], by_class)
