--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
@@ -58,19 +58,19 @@
             self.average(load)
         else:
             self.own_level = load.admit_level
-            self.path_levels = load.closed
+            self.path_levels = load.path_levels
         self.updated_at = at
 
     def average(self, load):
         """Update the moving averages with the levels of an answer."""
         self.own_level = self.averaged(self.own_level, load.admit_level)
-        if not self.path_levels and not load.closed:
+        if not self.path_levels and not load.path_levels:
             return
         levels = {
             path: self.averaged(
-                self.path_levels.get(path, ADMIT_ALL), load.closed.get(path, ADMIT_ALL)
+                self.path_levels.get(path, ADMIT_ALL), load.path_levels.get(path, ADMIT_ALL)
             )
-            for path in self.path_levels.keys() | load.closed.keys()
+            for path in self.path_levels.keys() | load.path_levels.keys()
         }
         lowest_first = sorted(levels.items(), key=lambda entry: entry[1])
         self.path_levels = {
