--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/__init__.py
@@ -1,1 +1,1 @@
-"""What the daemon tells operators about itself and about the fleet."""
+"""Status reports for operators, on this daemon and on the whole fleet."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
@@ -1,4 +1,4 @@
-"""Where the daemon's counters come from, by part."""
+"""Collects the counters of the daemon's components for the metrics."""
 
 from dataclasses import asdict
 from functools import partial
@@ -7,12 +7,19 @@
 
 
 def counter_sources(daemon):
-    """Return, by part, what returns its counters now.
+    """Return a function for each component that returns its counters.
+
+    The keys are the first parts of the metrics' dotted names.
 
     Parameters
     ----------
     daemon : Daemon
-        Its doors and supervisors need not be there before a source is called.
+        Doors and supervisors may still be missing; they are only read when
+        their function is called.
+
+    Returns
+    -------
+    dict of str to callable
     """
     return {
         "calls": partial(asdict, daemon.call_components.counters),
@@ -36,7 +43,7 @@
 
 
 def key_counters(gate):
-    """Return what was counted of keys, and of the table of them."""
+    """Return the counters of idempotency keys and of the key table."""
     return {**gate.counters, **gate.key_table.counters}
 
 
@@ -44,18 +51,18 @@
     """Return the counters of quarantine and of its propagation."""
     propagation = daemon.quarantine_propagation
     registry = daemon.quarantine_registry
-    parts = daemon.quarantine, registry, propagation, propagation.rows
-    return {name: count for part in parts for name, count in part.counters.items()}
+    sources = daemon.quarantine, registry, propagation, propagation.rows
+    return {name: count for one in sources for name, count in one.counters.items()}
 
 
 def account_counters(daemon):
-    """Return what was counted of keys, and of tokens taken and granted."""
-    parts = daemon.authenticator, daemon.owner_limiter, daemon.limit_owner
-    return {name: count for part in parts for name, count in part.counters.items()}
+    """Return the counters of account keys and of rate limit tokens."""
+    sources = daemon.authenticator, daemon.owner_limiter, daemon.limit_owner
+    return {name: count for one in sources for name, count in one.counters.items()}
 
 
 def door_counters(daemon):
-    """Return requests and refusals by door."""
+    """Return the requests and refusals of each door."""
     return {
         "caller": dict(daemon.caller_door.counters),
         "target": dict(daemon.listeners[0].counters),
@@ -64,6 +71,6 @@
 
 
 def restart_counters(daemon):
-    """Return how often each supervised part was started again."""
+    """Return how often each supervised child was restarted."""
     restarts = {**daemon.supervisor.restarts, **daemon.control.restarts}
     return {name.replace(" ", "_"): count for name, count in restarts.items()}
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/fleet.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/fleet.py
@@ -6,11 +6,11 @@
 
 from papayabay_core.errors import CallError
 from papayabay_core.exceptions import PapayabayError, ProtocolError
-from papayabay_daemon._internal.status.parts import (
+from papayabay_daemon._internal.status.partitions import (
     FAN_OUT,
+    gather_timeout,
     pack,
-    read_question,
-    seconds_for,
+    read_gather_request,
     split,
     unpack,
 )
@@ -98,7 +98,7 @@
 
     async def answer_gather(self, payload, peer):
         """Gather a part for a peer."""
-        topic, names = read_question(payload)
+        topic, names = read_gather_request(payload)
         if topic not in self.reports or topic not in SUMS:
             raise ProtocolError("no sums of such a report")
         if self.gathering >= GATHERS_AT_ONCE:
@@ -214,7 +214,7 @@
         if member is None:
             raise ProtocolError("it has just left")
         question = pack({"topic": self.topic, "names": names})
-        seconds = seconds_for(len(names))
+        seconds = gather_timeout(len(names))
         links = self.fleet.links
         answer = await links.request(member, GATHER_TOPIC, question, seconds)
         values = unpack(answer)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/page.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/page.py
@@ -1,11 +1,11 @@
-"""The daemon's report on itself: what is in force, and how full it is."""
+"""Builds the daemon's own status page and its burn report."""
 
 import time
 from dataclasses import asdict
 
 from papayabay_core.utils.clock import now
 
-BURN_WINDOWS = {
+BURN_WINDOWS_SECONDS = {
     "5m": 300.0,
     "30m": 1_800.0,
     "1h": 3_600.0,
@@ -15,7 +15,7 @@
 
 
 class StatusPage:
-    """Puts the parts' own accounts of themselves together.
+    """Combines the status of the daemon's components.
 
     Parameters
     ----------
@@ -24,16 +24,16 @@
 
     def __init__(self, daemon):
         self.daemon = daemon
-        self.started = now()
+        self.started_at = now()
 
     def status(self):
-        """Return the whole status as plain values."""
+        """Return the status page as JSON-compatible values."""
         daemon = self.daemon
         return {
             "name": daemon.membership.local.name,
             "failure_domain": daemon.settings.vm.failure_domain,
             "region": daemon.settings.vm.region,
-            "uptime_s": round(now() - self.started, 1),
+            "uptime_s": round(now() - self.started_at, 1),
             "processor_s": round(time.process_time(), 3),
             "leaving": daemon.leaving,
             "configuration": daemon.configuration.status(),
@@ -47,14 +47,14 @@
         }
 
     def burn(self):
-        """Return good and bad requests by path and window."""
+        """Return request counts by call path, time window and outcome."""
         return {
             "version": self.daemon.configuration.current.version,
-            "paths": self.daemon.objectives.totals(BURN_WINDOWS),
+            "paths": self.daemon.objectives.totals(BURN_WINDOWS_SECONDS),
             "left_out": self.daemon.objectives.left_out,
         }
 
 
 def target_status(announcement):
-    """Return what the target announced, or None while it has not."""
+    """Return the target's announcement as a dict, or None without one."""
     return None if announcement is None else asdict(announcement)
--- a/tests/unit/daemon/test_status_fleet.py
+++ b/tests/unit/daemon/test_status_fleet.py
@@ -16,11 +16,11 @@
     TAKEN_OVER_MAX,
     FleetReports,
 )
-from papayabay_daemon._internal.status.parts import (
-    CONTENT_MAX,
+from papayabay_daemon._internal.status.partitions import (
     FAN_OUT,
+    MESSAGE_BYTES_MAX,
+    gather_timeout,
     pack,
-    seconds_for,
     unpack,
 )
 from papayabay_daemon._internal.status.sums import BurnSums
@@ -136,7 +136,7 @@
         here = "papayabay_daemon._internal.status"
         with (
             mock.patch(f"{here}.fleet.FAN_OUT", 3),
-            mock.patch(f"{here}.parts.FAN_OUT", 3),
+            mock.patch(f"{here}.partitions.FAN_OUT", 3),
             mock.patch(f"{here}.fleet.WHOLE_MAX", 3),
         ):
             got = await fleets[0].gather("burn")
@@ -257,13 +257,13 @@
             pack({"topic": "status", "names": []}),
             pack({"topic": "status", "names": [1]}),
             pack({"topic": "other", "names": ["a"]}),
-            pack({"topic": "status", "names": ["x" * (CONTENT_MAX + 1)]}),
+            pack({"topic": "status", "names": ["x" * (MESSAGE_BYTES_MAX + 1)]}),
         ):
             with self.subTest(content[:20]), self.assertRaises(ProtocolError):
                 await node.answer_gather(content, "vm-00001")
 
     def test_levels_have_less_time_and_fit_in_the_commands(self):
-        self.assertLess(seconds_for(FAN_OUT), seconds_for(204))
-        self.assertLess(seconds_for(204), seconds_for(MEMBERS))
-        self.assertLess(seconds_for(MEMBERS), 25)
+        self.assertLess(gather_timeout(FAN_OUT), gather_timeout(204))
+        self.assertLess(gather_timeout(204), gather_timeout(MEMBERS))
+        self.assertLess(gather_timeout(MEMBERS), 25)
         self.assertEqual(unpack(pack(json.loads('{"a": 1}'))), {"a": 1})
