--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/routes.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/routes.py
@@ -1,4 +1,4 @@
-"""What the status door answers, by path."""
+"""Routes of the status door."""
 
 from papayabay_core.configuration import decode_patches
 from papayabay_core.exceptions import ProtocolError
@@ -8,7 +8,7 @@
 
 
 class StatusRoutes:
-    """Answers the status door's requests from the parts of a daemon.
+    """Answers the status door's requests from the daemon's components.
 
     Parameters
     ----------
@@ -25,10 +25,13 @@
             "burn": self.page.burn,
             "accounts": accounts.values,
         }
-        self.reports = FleetReports(daemon.membership, daemon.links, reports)
+        self.fleet_reports = FleetReports(daemon.membership, daemon.links, reports)
 
-    def reads(self):
-        """Return, by path, what answers a request with its query."""
+    def get_routes(self):
+        """Return the handlers of GET requests by path.
+
+        Each takes the query as a dict.
+        """
         return {
             "/status": self.status,
             "/burn": self.burn,
@@ -36,13 +39,16 @@
             "/fleet/burn": self.fleet_burn,
             "/fleet/accounts": self.fleet_accounts,
             "/policy": self.policy,
-            "/quarantine": self.held_back,
+            "/quarantine": self.quarantined,
         }
 
-    def writes(self):
-        """Return, by path, what takes the content of a request."""
+    def post_routes(self):
+        """Return the handlers of POST requests by path.
+
+        Each takes the body as bytes.
+        """
         return {
-            "/configuration/patches": self.take_patches,
+            "/configuration/patches": self.apply_patches,
             "/quarantine/lift": self.lift,
         }
 
@@ -51,46 +57,50 @@
         return self.page.status()
 
     async def burn(self, query):
-        """Return this daemon's good and bad requests."""
+        """Return this daemon's burn report."""
         return self.page.burn()
 
     async def fleet(self, query):
-        """Return the status of all daemons, whole or a page of it."""
+        """Return the status of all daemons, or one page of it.
+
+        With ``after`` in the query, the page of full reports that follows
+        the daemon of that name.
+        """
         after = query.get("after")
         if after is None:
-            return await self.reports.gather("status")
-        return await self.reports.gather_page("status", after)
+            return await self.fleet_reports.gather("status")
+        return await self.fleet_reports.gather_page("status", after)
 
     async def fleet_burn(self, query):
-        """Return the good and bad requests of all daemons."""
-        return await self.reports.gather("burn")
+        """Return the burn reports of all daemons, or their sums."""
+        return await self.fleet_reports.gather("burn")
 
     async def fleet_accounts(self, query):
-        """Return the requests of client accounts of all daemons."""
-        return await self.reports.gather("accounts")
+        """Return the account reports of all daemons, or their sums."""
+        return await self.fleet_reports.gather("accounts")
 
     async def policy(self, query):
         """Return the policy in force and its version."""
         current = self.configuration.current
         return {"version": current.version, "values": current.values}
 
-    async def held_back(self, query):
-        """Return the requests that all daemons hold back."""
+    async def quarantined(self, query):
+        """Return the requests that the fleet keeps in quarantine."""
         return {"held": self.quarantine.list_entries()}
 
     async def lift(self, content):
-        """Hold a request back no longer, here and at all daemons."""
+        """Lift the quarantine of a request, here and on all other daemons."""
         try:
             lifted = self.quarantine.lift(content.decode())
         except ValueError:
             raise ProtocolError("no fingerprint in hexadecimal digits") from None
         return {"lifted": lifted}
 
-    async def take_patches(self, content):
-        """Take patches that an operator's command has just committed.
+    async def apply_patches(self, content):
+        """Apply patches that an operator's command has just committed.
 
-        The store may fail right after a commit, before any reader has seen
-        it. Then nobody but the command that made it knows the patch, and it
-        would not come in force until the store is back.
+        The store may fail right after a commit, before any daemon has read
+        it. Without this request, the patch would not come into force until
+        the store is available again.
         """
         return {"version": self.configuration.apply_patches(decode_patches(content))}
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/sums.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/sums.py
@@ -1,19 +1,24 @@
-"""What the reports of many daemons come to, added up part by part."""
+"""Adds up the reports of many daemons.
+
+Each class of sums adds single reports by `add_reports` and the sums of other
+daemons, as JSON-compatible values from `plain`, by `merge`.
+"""
 
 from collections import Counter
 
 OUTLIERS_MAX = 16
 OUTCOMES = frozenset(("good", "failed", "refused", "slow"))
-FAULTS = (AttributeError, KeyError, TypeError, ValueError)
-"""What reading a report of another shape raises."""
+MALFORMED_ERRORS = (AttributeError, KeyError, TypeError, ValueError)
+"""Raised by reading a report of another structure."""
 
 
 class StatusSums:
-    """Counts over status pages, and some pages that stand out.
+    """Counts over status pages, and a few full pages of outliers.
 
-    A daemon stands out when it has something that an operator has to act
-    on, or a lower version than others of the same part. Whole pages of all
-    of 13,000 daemons would be 200 MB.
+    A daemon is an outlier if an operator has to act on its state, or if its
+    configuration version is lower than another's whose page was added with
+    it. Outliers are limited to `OUTLIERS_MAX`: the full pages of 13,000
+    daemons would take 200 MB.
     """
 
     def __init__(self):
@@ -22,22 +27,28 @@
         self.outliers = {}
 
     def add_reports(self, reports):
-        """Add pages by name; return the causes for the unreadable."""
+        """Add pages by the daemon's name.
+
+        Returns
+        -------
+        dict of str to str
+            Errors in the pages that could not be read, by name.
+        """
         versions = {}
-        faults = {}
+        errors = {}
         for name, page in reports.items():
             try:
                 versions[name] = self.add_page(page)
-            except FAULTS as error:
-                faults[name] = unreadable(error)
+            except MALFORMED_ERRORS as error:
+                errors[name] = unreadable(error)
         newest = max(versions.values(), default=0)
         for name, version in versions.items():
             if version < newest or needs_attention(reports[name]):
                 self.add_outlier(name, reports[name])
-        return faults
+        return errors
 
     def add_page(self, page):
-        """Count one page and return its version."""
+        """Count one page; return its configuration version."""
         configuration = page["configuration"]
         version = int(configuration["version"])
         admission = page.get("admission") or {}
@@ -59,18 +70,18 @@
         return version
 
     def add_outlier(self, name, page):
-        """Keep a page that stands out, or only count it."""
+        """Count an outlier, and keep its page if there is room."""
         self.totals["outliers"] += 1
         if len(self.outliers) < OUTLIERS_MAX:
             self.outliers[name] = page
 
     def merge(self, plain):
-        """Add the sums of another part.
+        """Add the sums that another daemon gathered.
 
         Raises
         ------
         ValueError, TypeError, KeyError, AttributeError
-            When they have another shape.
+            For values of another structure. Nothing is added then.
         """
         counts = {name: read_counts(plain[name]) for name in self.counts}
         totals = read_counts(plain["totals"])
@@ -82,13 +93,13 @@
         self.outliers.update(sorted(outliers.items())[:room])
 
     def plain(self):
-        """Return plain values, from which `merge` goes on."""
+        """Return the sums as JSON-compatible values that `merge` accepts."""
         counts = {name: dict(counter) for name, counter in self.counts.items()}
         return {**counts, "totals": dict(self.totals), "outliers": self.outliers}
 
 
 class BurnSums:
-    """Good and bad requests by path and window, over daemons."""
+    """Request counts of burn reports, by call path, window and outcome."""
 
     def __init__(self):
         self.versions = {}
@@ -96,21 +107,21 @@
         self.left_out = 0
 
     def add_reports(self, reports):
-        """Add accounts by name; return the causes for the unreadable."""
-        faults = {}
-        for name, account in reports.items():
+        """Add reports by the daemon's name; see `StatusSums.add_reports`."""
+        errors = {}
+        for name, report in reports.items():
             try:
-                version = int(account["version"])
-                left_out = int(account.get("left_out", 0))
-                paths = read_paths(account["paths"])
-            except FAULTS as error:
-                faults[name] = unreadable(error)
+                version = int(report["version"])
+                left_out = int(report.get("left_out", 0))
+                paths = read_paths(report["paths"])
+            except MALFORMED_ERRORS as error:
+                errors[name] = unreadable(error)
                 continue
             self.add(paths, left_out, {name: version})
-        return faults
+        return errors
 
     def add(self, paths, left_out, versions):
-        """Add counts that were read whole."""
+        """Add counts that have been read and checked in full."""
         self.versions.update(versions)
         self.left_out += left_out
         for key, window, counts in paths:
@@ -118,12 +129,12 @@
             windows.setdefault(window, Counter()).update(counts)
 
     def merge(self, plain):
-        """Add the sums of another part; see `StatusSums.merge`."""
+        """Add the sums of another daemon; see `StatusSums.merge`."""
         versions = read_counts(plain["versions"])
         self.add(read_paths(plain["paths"]), int(plain["left_out"]), versions)
 
     def plain(self):
-        """Return plain values, from which `merge` goes on."""
+        """Return the sums as JSON-compatible values that `merge` accepts."""
         return {
             "versions": self.versions,
             "paths": {
@@ -135,7 +146,7 @@
 
 
 def needs_attention(page):
-    """Return whether an operator has something to do about a daemon."""
+    """Return whether an operator has to act on a daemon's state."""
     configuration = page["configuration"]
     return bool(
         page.get("leaving")
@@ -146,24 +157,24 @@
 
 
 class AccountSums:
-    """Requests of client accounts, over daemons."""
+    """Request counts of client accounts."""
 
     def __init__(self):
         self.accounts = {}
         self.keys = Counter()
 
     def add_reports(self, reports):
-        """Add reports by name; return the causes for the unreadable."""
-        faults = {}
+        """Add reports by the daemon's name; see `StatusSums.add_reports`."""
+        errors = {}
         for name, report in reports.items():
             try:
                 self.merge(report)
-            except FAULTS as error:
-                faults[name] = unreadable(error)
-        return faults
+            except MALFORMED_ERRORS as error:
+                errors[name] = unreadable(error)
+        return errors
 
     def merge(self, plain):
-        """Add a report, or sums of another part; see `StatusSums.merge`."""
+        """Add a report, or another daemon's sums; see `StatusSums.merge`."""
         accounts = {
             name: read_counts(counts) for name, counts in plain["accounts"].items()
         }
@@ -173,7 +184,7 @@
         self.keys.update(keys)
 
     def plain(self):
-        """Return plain values, from which `merge` goes on."""
+        """Return the sums as JSON-compatible values that `merge` accepts."""
         accounts = {name: dict(counts) for name, counts in self.accounts.items()}
         return {"accounts": accounts, "keys": dict(self.keys)}
 
@@ -182,15 +193,15 @@
 
 
 def read_counts(counts):
-    """Return counts by name, each of them a whole number."""
+    """Return counts by name, each of them converted to an integer."""
     return {str(name): int(count) for name, count in counts.items()}
 
 
 def read_paths(paths):
-    """Return path, window and counts of an account's every window.
+    """Return the path, window and counts of each window of a burn report.
 
-    All of it is read before any of it is added: half an account would make
-    the sums wrong and nobody could tell.
+    The report is read in full before any of it is added: one that is added
+    in part would make the sums wrong without a trace.
     """
     return [
         (key, window, read_outcomes(counts))
@@ -200,12 +211,12 @@
 
 
 def read_outcomes(counts):
-    """Return counts by outcome; raises for an outcome unknown here."""
+    """Return counts by outcome; raises `ValueError` for an unknown outcome."""
     if unknown := counts.keys() - OUTCOMES:
         raise ValueError(f"unknown outcome {min(unknown)!r:.40}")
     return read_counts(counts)
 
 
 def unreadable(error):
-    """Return the cause that stands for a report of another shape."""
+    """Return the cause that is shown in place of a malformed report."""
     return f"its report can't be read: {type(error).__name__}: {error!s:.80}"
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -228,7 +228,9 @@
             sources = self.call_components.latencies, self.metrics.totals, self.gauges
             self.listeners.append(MetricsDoor(settings, *sources))
         routes = StatusRoutes(self)
-        self.status_door = StatusDoor(settings, routes.reads(), routes.writes())
+        self.status_door = StatusDoor(
+            settings, routes.get_routes(), routes.post_routes()
+        )
 
     def build_supervision(self):
         """Make the supervisor tree."""
--- a/tests/unit/daemon/test_status_fleet.py
+++ b/tests/unit/daemon/test_status_fleet.py
@@ -1,4 +1,4 @@
-"""Gathering of reports from all daemons of a large fleet."""
+"""Tests of gathering reports from all daemons of a large fleet."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from papayabay_daemon._internal.links.limits import MAX_PAYLOAD_BYTES
 from papayabay_daemon._internal.status.fleet import (
     GATHER_TOPIC,
-    TAKEN_OVER_MAX,
+    LOCAL_FALLBACKS_MAX,
     FleetReports,
 )
 from papayabay_daemon._internal.status.partitions import (
@@ -27,7 +27,7 @@
 from tests.unit.daemon.links_support import make_links
 
 MEMBERS = 13_000
-FEWER = 1_500
+FEWER_MEMBERS = 1_500
 DOMAINS = 20
 PAD = "x" * 500
 
@@ -44,14 +44,14 @@
     }
 
 
-def make_account():
-    """Return a burn account."""
+def make_burn_report():
+    """Return a daemon's burn report."""
     counts = {"good": 3, "failed": 1, "refused": 0, "slow": 0}
     return {"version": 7, "paths": {"shop/buy": {"5m": counts}}, "left_out": 1}
 
 
 class Fleet:
-    """Daemons that reach each other through plain function calls."""
+    """Daemons that reach each other through function calls."""
 
     def __init__(self, count):
         self.all = {}
@@ -68,11 +68,11 @@
     def report(self, name, topic):
         """Return a daemon's report."""
         if topic == "burn":
-            return make_account()
+            return make_burn_report()
         return self.pages.get(name) or make_page(name)
 
     def node(self, name):
-        """Return a daemon's gatherer, made when first needed."""
+        """Return a daemon's `FleetReports`, made when first needed."""
         if name not in self.nodes:
             members = SimpleNamespace(
                 local=self.all[name],
@@ -90,7 +90,10 @@
 
 
 class FakeLinks:
-    """Counts what one daemon asks."""
+    """Delivers one daemon's requests, and counts them.
+
+    A daemon in `Fleet.dead` does not answer the topics given there.
+    """
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -103,8 +106,8 @@
     async def request(self, peer, topic, payload, timeout):
         fleet = self.fleet
         fleet.sent[self.name] += 1
-        silent = fleet.dead.get(peer.name, ())
-        if topic in silent:
+        unanswered = fleet.dead.get(peer.name, ())
+        if topic in unanswered:
             raise TimeoutError
         if topic == GATHER_TOPIC:
             links = fleet.node(peer.name).links
@@ -115,12 +118,12 @@
         return answer
 
 
-EVERYTHING = ("status", "burn", GATHER_TOPIC)
+ALL_TOPICS = ("status", "burn", GATHER_TOPIC)
 
 
 class RealLinksTests(unittest.IsolatedAsyncioTestCase):
-    async def test_parts_are_gathered_over_links(self):
-        """Nine daemons, four of them stopped, and parts of two or three."""
+    async def test_partitions_are_gathered_over_links(self):
+        """Nine daemons, four of them stopped, partitions of two or three."""
         every = [make_links(f"vm-{number}") for number in range(9)]
         known = {links.local.name: links.local for links in every}
         fleets = []
@@ -130,14 +133,14 @@
             members = SimpleNamespace(
                 local=links.local, live=lambda: list(known.values()), get=known.get
             )
-            fleets.append(FleetReports(members, links, {"burn": make_account}))
+            fleets.append(FleetReports(members, links, {"burn": make_burn_report}))
         for links in every[5:]:
             await links.close()
-        here = "papayabay_daemon._internal.status"
+        package = "papayabay_daemon._internal.status"
         with (
-            mock.patch(f"{here}.fleet.FAN_OUT", 3),
-            mock.patch(f"{here}.partitions.FAN_OUT", 3),
-            mock.patch(f"{here}.fleet.WHOLE_MAX", 3),
+            mock.patch(f"{package}.fleet.FAN_OUT", 3),
+            mock.patch(f"{package}.partitions.FAN_OUT", 3),
+            mock.patch(f"{package}.fleet.FULL_REPORTS_MAX", 3),
         ):
             got = await fleets[0].gather("burn")
         self.assertEqual(sorted(got["sums"]["versions"]), sorted(known)[:5])
@@ -147,15 +150,18 @@
 
 class GatherTests(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        # Debugging keeps a traceback for each of 13,000 tasks.
+        # In debug mode asyncio keeps a traceback for each of 13,000 tasks.
         asyncio.get_running_loop().set_debug(False)
-        self.fleet = Fleet(FEWER)
+        self.fleet = Fleet(FEWER_MEMBERS)
 
     async def gather(self, topic):
         return await self.fleet.node("vm-00000").gather(topic)
 
-    async def test_no_daemon_asks_many_others(self):
-        """One daemon asked 13,000 and held 200 MB of their reports."""
+    async def test_requests_of_each_daemon_are_bounded(self):
+        """Gathering must not make one daemon request all reports.
+
+        It would ask 13,000 others and hold 200 MB of their reports.
+        """
         self.fleet = Fleet(MEMBERS)
         got = await self.gather("status")
         totals = got["sums"]["totals"]
@@ -167,29 +173,32 @@
         self.assertLess(self.fleet.sent.total(), 1.1 * MEMBERS)
         self.assertLess(self.fleet.largest, MAX_PAYLOAD_BYTES // 4)
 
-    async def test_part_of_a_dead_daemon_is_asked_through_another(self):
-        """A daemon that gathers for others dies.
+    async def test_partition_of_dead_delegate_is_gathered_by_another(self):
+        """A partition must not be missing because its delegate is dead.
 
-        Symptom to guard against: all of its part is missing. All daemons
-        that gathered before are dead now, on every level.
+        All delegates of a first gathering, on every level, are dead in the
+        second one.
         """
         self.fleet = Fleet(MEMBERS)
         await self.gather("burn")
-        heads = [n for n in self.fleet.sent if n != "vm-00000"]
-        self.fleet.dead = dict.fromkeys(heads, EVERYTHING)
+        delegates = [n for n in self.fleet.sent if n != "vm-00000"]
+        self.fleet.dead = dict.fromkeys(delegates, ALL_TOPICS)
         self.fleet.nodes.clear()
         got = await self.gather("burn")
-        self.assertGreater(len(heads), 100)
-        self.assertFalse(set(got["not_heard"]) ^ set(heads))
+        self.assertGreater(len(delegates), 100)
+        self.assertFalse(set(got["not_heard"]) ^ set(delegates))
         self.assertEqual({c[:12] for c in got["not_heard"].values()}, {"TimeoutError"})
         sums = got["sums"]
-        heard = MEMBERS - len(heads)
+        heard = MEMBERS - len(delegates)
         self.assertEqual(len(sums["versions"]), heard)
         self.assertEqual(sums["paths"]["shop/buy"]["5m"]["good"], 3 * heard)
         self.assertEqual(sums["left_out"], heard)
 
-    async def test_part_that_nobody_gathers_is_named(self):
-        """No other daemon gathers; one may not ask 13,000 by itself."""
+    async def test_partitions_that_nobody_gathers_are_reported(self):
+        """All delegates fail, and the fallback to asking directly is bounded.
+
+        The members that were not asked are reported with the cause.
+        """
         self.fleet = Fleet(MEMBERS)
         self.fleet.dead = dict.fromkeys(list(self.fleet.all)[1:], (GATHER_TOPIC,))
         got = await self.gather("burn")
@@ -199,9 +208,9 @@
         for cause in got["not_heard"].values():
             self.assertIn("was not gathered: vm-", cause)
         asked = self.fleet.sent["vm-00000"]
-        self.assertLess(asked, 3 * FAN_OUT + TAKEN_OVER_MAX * FAN_OUT)
+        self.assertLess(asked, 3 * FAN_OUT + LOCAL_FALLBACKS_MAX * FAN_OUT)
 
-    async def test_unreadable_and_standing_out(self):
+    async def test_malformed_reports_and_outliers(self):
         self.fleet.pages = {
             "vm-00011": make_page("vm-00011", version=6),
             "vm-00012": make_page("vm-00012", confirmed=False),
@@ -211,7 +220,7 @@
         sums = got["sums"]
         self.assertEqual(set(sums["outliers"]), {"vm-00011", "vm-00012"})
         self.assertEqual(sums["outliers"]["vm-00011"]["pad"], PAD)
-        self.assertEqual(sums["versions"], {"6": 1, "7": FEWER - 2})
+        self.assertEqual(sums["versions"], {"6": 1, "7": FEWER_MEMBERS - 2})
         self.assertEqual(sums["totals"]["unconfirmed"], 1)
         self.assertEqual(list(got["not_heard"]), ["vm-00013"])
         self.assertIn("can't be read", got["not_heard"]["vm-00013"])
@@ -220,19 +229,19 @@
         for name in self.fleet.all:
             self.fleet.pages[name] = make_page(name, confirmed=False)
         sums = (await self.gather("status"))["sums"]
-        self.assertEqual(sums["totals"]["outliers"], FEWER)
+        self.assertEqual(sums["totals"]["outliers"], FEWER_MEMBERS)
         self.assertEqual(len(sums["outliers"]), 16)
         self.assertLess(self.fleet.largest, MAX_PAYLOAD_BYTES)
 
-    async def test_half_an_account_is_not_added(self):
-        account = make_account()
-        account["paths"]["shop/sell"] = {"5m": {"good": 1, "odd": 1}}
+    async def test_partly_malformed_report_is_not_added(self):
+        report = make_burn_report()
+        report["paths"]["shop/sell"] = {"5m": {"good": 1, "odd": 1}}
         sums = BurnSums()
-        faults = sums.add_reports({"a": account, "b": make_account()})
-        self.assertEqual(list(faults), ["a"])
+        errors = sums.add_reports({"a": report, "b": make_burn_report()})
+        self.assertEqual(list(errors), ["a"])
         self.assertEqual(sums.plain()["paths"]["shop/buy"]["5m"]["good"], 3)
 
-    async def test_pages_hold_everybody_once(self):
+    async def test_pages_contain_each_daemon_once(self):
         node, after, seen = self.fleet.node("vm-00000"), "", []
         while after is not None:
             page = await node.gather_page("status", after)
@@ -241,14 +250,14 @@
             after = page["next"]
         self.assertEqual(seen, sorted(self.fleet.all))
 
-    async def test_small_fleet_is_asked_whole(self):
+    async def test_small_fleet_returns_full_reports(self):
         self.fleet = Fleet(200)
-        self.fleet.dead = {"vm-00003": EVERYTHING}
+        self.fleet.dead = {"vm-00003": ALL_TOPICS}
         got = await self.gather("status")
         self.assertEqual(len(got["heard"]), 199)
         self.assertEqual(got["not_heard"], {"vm-00003": "TimeoutError: "})
 
-    async def test_malformed_questions_are_refused(self):
+    async def test_malformed_gather_requests_are_rejected(self):
         node = self.fleet.node("vm-00000")
         for content in (
             b"",
@@ -262,7 +271,7 @@
             with self.subTest(content[:20]), self.assertRaises(ProtocolError):
                 await node.answer_gather(content, "vm-00001")
 
-    def test_levels_have_less_time_and_fit_in_the_commands(self):
+    def test_timeout_grows_with_levels_and_fits_the_commands_timeout(self):
         self.assertLess(gather_timeout(FAN_OUT), gather_timeout(204))
         self.assertLess(gather_timeout(204), gather_timeout(MEMBERS))
         self.assertLess(gather_timeout(MEMBERS), 25)
