--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Counters of the daemon's parts, sent to statsd and shown on the status."""
+"""Counters, gauges and latencies of the daemon, and their export."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/exposition.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/exposition.py
@@ -1,4 +1,4 @@
-"""The door at which metrics are fetched."""
+"""HTTP listener for collectors that scrape the daemon's metrics."""
 
 from papayabay_core.calls import Answer, Body
 from papayabay_core.errors import CallError, ErrorKind
@@ -8,7 +8,7 @@
 
 
 class MetricsDoor(Door):
-    """Serves all metrics as text.
+    """Serves all metrics in the Prometheus text format.
 
     Parameters
     ----------
@@ -16,9 +16,9 @@
         With a `metrics.host`.
     latencies : Latencies
     totals : callable
-        Returns numbers that only ever grow, by dotted name.
+        Returns the counters by dotted name.
     gauges : callable
-        Returns numbers that rise and fall, by dotted name.
+        Returns the gauges by dotted name.
     """
 
     def __init__(self, settings, latencies, totals, gauges):
@@ -30,9 +30,10 @@
         self.gauges = gauges
 
     async def answer(self, request):
-        """Return the metrics."""
+        """Return the metrics; raises `CallError` for another path."""
         if request.method != "GET" or request.path != self.path:
             raise CallError(ErrorKind.UNKNOWN_SERVICE, "only the metrics are here")
+        # Loads the Prometheus library only in daemons that are scraped.
         from papayabay_daemon._internal.metrics.text import exposition
 
         text = exposition(self.latencies, self.totals, self.gauges)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/latencies.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/latencies.py
@@ -1,4 +1,4 @@
-"""How long requests and attempts took, counted by path and outcome."""
+"""Latency histograms of requests and attempts, by call path and outcome."""
 
 from bisect import bisect_left
 from dataclasses import dataclass, field
@@ -6,42 +6,49 @@
 from papayabay_daemon._internal.decision_log import outcome_of
 
 LATENCY_BUCKETS_S = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
-"""Upper bounds in seconds: doublings around what whole requests take, 50 ms
-to 1.5 s, and a few below that show what the daemon itself adds."""
-MOST_SERIES = 512
-"""Pairs of path and outcome with a histogram; each costs about 0.5 KB."""
+"""Upper bounds in seconds. From 50 ms on they double, for requests of 50 ms
+to 1.5 s; the bounds below show the latency that the daemon itself adds."""
+MAX_SERIES = 512
+"""Most pairs of path and outcome with histograms; each takes about 0.5 KB."""
 
 
 @dataclass(slots=True)
 class Histogram:
-    """Times of one path and outcome.
+    """Latency histogram of one path and outcome.
 
     Attributes
     ----------
     counts : list of int
-        By bucket; the last is for what is longer than all bounds.
+        Number of latencies by bucket; the last bucket has no upper bound.
     seconds : float
-        Their sum.
+        Sum of all latencies.
     """
 
     counts: list = field(default_factory=lambda: [0] * (len(LATENCY_BUCKETS_S) + 1))
     seconds: float = 0.0
 
     def observe(self, elapsed):
-        """Count one time."""
+        """Count one latency.
+
+        Parameters
+        ----------
+        elapsed : float
+            Seconds.
+        """
         self.counts[bisect_left(LATENCY_BUCKETS_S, elapsed)] += 1
         self.seconds += elapsed
 
 
 class Latencies:
-    """How long requests and attempts took, by path and outcome.
+    """Latency histograms by path and outcome.
 
     Attributes
     ----------
     requests, attempts : dict of (str, str) to Histogram
-        Requests that entered here, and attempts sent to upstreams.
+        Requests that entered the fleet at this daemon, and attempts that it
+        sent to upstreams.
     left_out : int
-        Times of paths beyond the bound.
+        Latencies that were not recorded because `MAX_SERIES` was reached.
     """
 
     def __init__(self):
@@ -49,28 +56,28 @@
         self.attempts = {}
         self.series = set()
         self.left_out = 0
-        # The outcome's name takes a microsecond; calls repeat the same few.
-        self.bound = {}
+        # Saves computing the outcome's name, about a microsecond per call.
+        self.histogram_cache = {}
 
     def request_ended(self, path_key, answer, elapsed):
-        """Note a request's end."""
+        """Record the latency of a request; `elapsed` is in seconds."""
         self.observe(self.requests, "request", path_key, answer, elapsed)
 
     def attempt_ended(self, path_key, answer, elapsed):
-        """Note an attempt's end."""
+        """Record the latency of an attempt; `elapsed` is in seconds."""
         self.observe(self.attempts, "attempt", path_key, answer, elapsed)
 
-    def observe(self, histograms, what, path_key, answer, elapsed):
-        """Note one time; a path beyond the bound is only counted."""
+    def observe(self, histograms, event, path_key, answer, elapsed):
+        """Record a latency, or count it as left out beyond `MAX_SERIES`."""
         kind = None if answer is None else answer.kind
-        known = (what, path_key, answer is None, kind)
-        histogram = self.bound.get(known)
+        cache_key = (event, path_key, answer is None, kind)
+        histogram = self.histogram_cache.get(cache_key)
         if histogram is None:
             series = (path_key, outcome_of(answer))
-            if series not in self.series and len(self.series) >= MOST_SERIES:
+            if series not in self.series and len(self.series) >= MAX_SERIES:
                 self.left_out += 1
                 return
             self.series.add(series)
             histogram = histograms.setdefault(series, Histogram())
-            self.bound[known] = histogram
+            self.histogram_cache[cache_key] = histogram
         histogram.observe(elapsed)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/members.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/members.py
@@ -1,4 +1,4 @@
-"""Which values of the membership's status only ever grow."""
+"""Selects the counters from the membership's status."""
 
 MEMBER_COUNTERS = (
     "pauses",
@@ -20,10 +20,10 @@
 
 
 def member_counters(membership):
-    """Return the counters among a membership's status.
+    """Return the values of a membership's status that are counters.
 
-    The rest are levels, such as the number of live members. The growth of a
-    level, sent as a counter and added up over daemons, means nothing.
+    The others are gauges, such as the number of live members. Sent to statsd
+    as counter increments and summed over daemons, they would be meaningless.
     """
     status = membership.status()
     return {name: status[name] for name in MEMBER_COUNTERS}
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/sender.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/sender.py
@@ -1,4 +1,4 @@
-"""Sends what counters have grown by to statsd, once a period."""
+"""Sends the increments of the daemon's counters to statsd."""
 
 import asyncio
 
@@ -6,12 +6,12 @@
 
 
 def flatten(counters, prefix=""):
-    """Return nested counters as one table of dotted names.
+    """Return nested counters as one dict with dotted names.
 
     Parameters
     ----------
     counters : dict
-        Of numbers, dicts and things that are neither; those are left out.
+        Values other than numbers and dicts are left out.
     """
     flat = {}
     for name, value in counters.items():
@@ -24,13 +24,13 @@
 
 
 class MetricsSender:
-    """Sends each counter's growth as one UDP packet of statsd lines.
+    """Sends counter increments to statsd over UDP, once per period.
 
     Parameters
     ----------
     settings : StatsdSettings
     sources : dict of str to callable
-        By the name of each part, what returns its counters as plain values.
+        By the name of each component, a function that returns its counters.
     """
 
     def __init__(self, settings, sources):
@@ -39,11 +39,11 @@
         self.sent = {}
 
     def totals(self):
-        """Return every counter by its dotted name."""
+        """Return all counters by dotted name."""
         return flatten({name: counts() for name, counts in self.sources.items()})
 
     async def run(self):
-        """Send growth once a period; nothing without a host."""
+        """Send increments until cancelled; return at once without a host."""
         if self.settings.host is None:
             return
         client = statsd.StatsClient(
@@ -54,11 +54,11 @@
             self.send(client)
 
     def send(self, client):
-        """Send what has grown since the last time."""
+        """Send the counters' increments since the last call."""
         totals = self.totals()
         with client.pipeline() as pipeline:
             for name, value in totals.items():
-                grown = value - self.sent.get(name, 0)
-                if grown:
-                    pipeline.incr(name, grown)
+                increment = value - self.sent.get(name, 0)
+                if increment:
+                    pipeline.incr(name, increment)
         self.sent = totals
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/text.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/text.py
@@ -1,7 +1,8 @@
-"""Metrics in the text form that collectors fetch.
+"""Renders the daemon's metrics in the Prometheus text format.
 
-Imported when they are first asked for: the library is 2.7 MB in a process, a
-twelfth of it, and few daemons of a large fleet are ever asked.
+Import this module only when metrics are requested: the Prometheus library
+takes 2.7 MB, a twelfth of the process's memory, and in a large fleet most
+daemons are never scraped.
 """
 
 import re
@@ -18,20 +19,20 @@
 from papayabay_daemon._internal.metrics.latencies import LATENCY_BUCKETS_S
 
 PREFIX = "papayabay_"
-NOT_IN_NAMES = re.compile(r"[^a-zA-Z0-9_]")
+INVALID_IN_NAMES = re.compile(r"[^a-zA-Z0-9_]")
 BOUNDS = (*map(floatToGoString, LATENCY_BUCKETS_S), "+Inf")
 
 
 class Collector:
-    """Reads the daemon's own counts when they are asked for.
+    """Collects the daemon's current metrics at each scrape.
 
     Parameters
     ----------
     latencies : Latencies
     totals : callable
-        Returns numbers that only ever grow, by dotted name.
+        Returns the counters by dotted name.
     gauges : callable
-        Returns numbers that rise and fall, by dotted name.
+        Returns the gauges by dotted name.
     """
 
     def __init__(self, latencies, totals, gauges):
@@ -40,11 +41,11 @@
         self.gauges = gauges
 
     def collect(self):
-        """Yield all levels, counters and histograms.
+        """Yield all gauges, counters and histograms.
 
-        Histograms come last. They are nine tenths of the page, and where a
-        collector keeps a bounded part of it, the few numbers that tell what a
-        process decides by must not be what is cut off.
+        Histograms come last. They make up nine tenths of the page, and a
+        collector that truncates it must not lose the gauges and counters,
+        which show the state that the daemon's decisions depend on.
         """
         yield from families(GaugeMetricFamily, "Level", self.gauges())
         yield from families(CounterMetricFamily, "Count", self.totals())
@@ -53,29 +54,29 @@
         yield histograms("attempt", "Attempts sent to upstreams.", attempts)
 
 
-def families(kind, what, numbers):
-    """Yield a family of one number for each dotted name."""
+def families(kind, label, numbers):
+    """Yield a metric family with a single value for each dotted name."""
     for name, value in numbers.items():
-        plain = PREFIX + NOT_IN_NAMES.sub("_", name).lower()
-        family = kind(plain, f"{what} of {name}.")
+        metric_name = PREFIX + INVALID_IN_NAMES.sub("_", name).lower()
+        family = kind(metric_name, f"{label} of {name}.")
         family.add_metric([], value)
         yield family
 
 
 def histograms(name, text, by_series):
-    """Return one family of histograms of seconds."""
+    """Return a metric family of latency histograms in seconds."""
     family = HistogramMetricFamily(
         f"{PREFIX}{name}_seconds", text, labels=("path", "outcome")
     )
     for series, histogram in by_series.items():
-        sums = accumulate(histogram.counts)
-        buckets = list(zip(BOUNDS, sums, strict=True))
+        cumulative = accumulate(histogram.counts)
+        buckets = list(zip(BOUNDS, cumulative, strict=True))
         family.add_metric(series, buckets, histogram.seconds)
     return family
 
 
 def exposition(latencies, totals, gauges):
-    """Return all metrics as bytes."""
+    """Return all metrics in the text format, as bytes."""
     registry = CollectorRegistry()
     registry.register(Collector(latencies, totals, gauges))
     return generate_latest(registry)
--- a/tests/unit/daemon/test_metrics_exposition.py
+++ b/tests/unit/daemon/test_metrics_exposition.py
@@ -1,10 +1,12 @@
+"""Tests of the metrics in the Prometheus text format."""
+
 import unittest
 
 from papayabay_core.calls import Answer
 from papayabay_core.errors import ErrorKind
 from papayabay_core.settings import MetricsSettings
 from papayabay_daemon._internal.metrics.exposition import MetricsDoor
-from papayabay_daemon._internal.metrics.latencies import MOST_SERIES, Latencies
+from papayabay_daemon._internal.metrics.latencies import MAX_SERIES, Latencies
 from tests.unit.daemon.door_fakes import exchange, parse, request, settings
 
 
@@ -34,24 +36,23 @@
         self.assertIn(f'{series},path="svc/read"}} 1.0', text)
         self.assertIn('outcome="overloaded"', text)
 
-    async def test_what_is_decided_by_stands_before_the_histograms(self):
-        """Nobody could see how far a budget of repeats was used.
+    async def test_gauges_and_counters_precede_histograms(self):
+        """A collector that truncates the page must not lose the gauges.
 
-        Sequence: a collector keeps the first part of each page; once calls had
-        been made, histograms filled all of that. Cause: counters stood behind
-        them, and levels nowhere.
+        After a few calls, histograms alone filled the part that it kept.
+        Counters followed them, and the state of the retry budget was lost.
         """
         self.latencies.request_ended("svc/read", Answer(200), 0.3)
         _, text = await self.fetch()
-        level = text.index("papayabay_repeats_allowed 4.5")
+        gauge = text.index("papayabay_repeats_allowed 4.5")
         counter = text.index("papayabay_calls_entered_total 3.0")
-        self.assertLess(level, counter)
+        self.assertLess(gauge, counter)
         self.assertLess(counter, text.index("papayabay_request_seconds_bucket"))
 
-    async def test_another_path_holds_nothing(self):
+    async def test_other_path_is_not_found(self):
         self.assertEqual((await self.fetch("/else"))[0], 404)
 
     async def test_series_are_bounded(self):
-        for number in range(MOST_SERIES + 5):
+        for number in range(MAX_SERIES + 5):
             self.latencies.request_ended(f"svc/{number}", Answer(200), 0.1)
         self.assertEqual(self.latencies.left_out, 5)
