--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/objectives.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/objectives.py
@@ -1,7 +1,8 @@
-"""Good and bad requests per call path, kept for the burn report.
+"""Counts good and bad requests per call path, for the burn report.
 
-Two rings a path bound the memory: minutes for six hours, hours for three
-days, which the short and the long windows of the burn report add up.
+Each path has two ring buffers, which bound the memory: one of minutes for six
+hours, one of hours for three days. The windows of the burn report are summed
+from them.
 """
 
 from array import array
@@ -10,11 +11,11 @@
 from papayabay_core.errors import Effect, ErrorKind
 from papayabay_core.utils.clock import now
 
-MINUTE = 60.0
-HOUR = 3_600.0
+MINUTE_SECONDS = 60.0
+HOUR_SECONDS = 3_600.0
 MINUTES_KEPT = 360
 HOURS_KEPT = 72
-MOST_PATHS = 256
+MAX_PATHS = 256
 
 GOOD, FAILED, REFUSED, SLOW = range(4)
 OUTCOMES = ("good", "failed", "refused", "slow")
@@ -41,44 +42,50 @@
 )
 
 
-class Ring:
-    """Counts of each outcome in the last so many periods.
+class CountRing:
+    """Ring buffer of counts by outcome, one slot per period.
 
     Parameters
     ----------
     period : float
-        Seconds of one slot.
-    kept : int
-        Slots.
+        Length of a period in seconds.
+    slot_count : int
+        Number of periods that are kept.
     """
 
-    def __init__(self, period, kept):
+    def __init__(self, period, slot_count):
         self.period = period
-        self.kept = kept
-        self.slots = array("L", [0]) * (kept * len(OUTCOMES))
-        self.newest = int(now() / period)
+        self.slot_count = slot_count
+        self.slots = array("L", [0]) * (slot_count * len(OUTCOMES))
+        self.newest_period = int(now() / period)
 
     def advance(self, moment):
-        """Empty the slots that have come round since the last call."""
+        """Clear the slots of the periods that began since the last call.
+
+        A clock that steps back clears nothing.
+        """
         current = int(moment / self.period)
-        passed = min(current - self.newest, self.kept)
+        passed = min(current - self.newest_period, self.slot_count)
         for step in range(passed):
-            start = ((current - step) % self.kept) * len(OUTCOMES)
+            start = ((current - step) % self.slot_count) * len(OUTCOMES)
             for outcome in range(len(OUTCOMES)):
                 self.slots[start + outcome] = 0
-        self.newest = max(self.newest, current)
+        self.newest_period = max(self.newest_period, current)
 
     def record(self, outcome, moment):
-        """Count one request."""
+        """Count one request in the current period."""
         self.advance(moment)
-        self.slots[(self.newest % self.kept) * len(OUTCOMES) + outcome] += 1
+        self.slots[
+            (self.newest_period % self.slot_count) * len(OUTCOMES) + outcome
+        ] += 1
 
     def total(self, seconds, moment):
-        """Return counts by outcome name over the last seconds."""
+        """Return counts by outcome name over the last `seconds`."""
         self.advance(moment)
-        wanted = min(self.kept, max(1, round(seconds / self.period)))
+        periods = min(self.slot_count, max(1, round(seconds / self.period)))
         starts = [
-            ((self.newest - step) % self.kept) * len(OUTCOMES) for step in range(wanted)
+            ((self.newest_period - step) % self.slot_count) * len(OUTCOMES)
+            for step in range(periods)
         ]
         return {
             name: sum(self.slots[start + outcome] for start in starts)
@@ -88,21 +95,33 @@
 
 @dataclass(slots=True)
 class PathRings:
-    """The two rings of one call path."""
+    """The two ring buffers of one call path."""
 
-    minutes: Ring = field(default_factory=lambda: Ring(MINUTE, MINUTES_KEPT))
-    hours: Ring = field(default_factory=lambda: Ring(HOUR, HOURS_KEPT))
+    minutes: CountRing = field(
+        default_factory=lambda: CountRing(MINUTE_SECONDS, MINUTES_KEPT)
+    )
+    hours: CountRing = field(
+        default_factory=lambda: CountRing(HOUR_SECONDS, HOURS_KEPT)
+    )
 
 
 class ObjectiveCounters:
-    """Counts requests that entered here, for paths with an objective."""
+    """Counts the requests that entered at this daemon against objectives.
+
+    Attributes
+    ----------
+    paths : dict of str to PathRings
+        Paths with an objective.
+    left_out : int
+        Requests that were not counted because `MAX_PATHS` was reached.
+    """
 
     def __init__(self):
         self.paths = {}
         self.left_out = 0
 
     def record(self, rule, answer, elapsed):
-        """Count a request's end.
+        """Count a finished request, unless the caller is at fault.
 
         Parameters
         ----------
@@ -117,25 +136,25 @@
         if rings is None:
             self.left_out += 1
             return
-        outcome = outcome_of(rule.objective, answer, elapsed)
+        outcome = classify_outcome(rule.objective, answer, elapsed)
         moment = now()
         rings.minutes.record(outcome, moment)
         rings.hours.record(outcome, moment)
 
     def rings_of(self, path_key):
-        """Return a path's rings, or None once too many paths are kept."""
+        """Return a path's rings, or None for a new path beyond the limit."""
         rings = self.paths.get(path_key)
-        if rings is None and len(self.paths) < MOST_PATHS:
+        if rings is None and len(self.paths) < MAX_PATHS:
             rings = self.paths[path_key] = PathRings()
         return rings
 
     def totals(self, windows):
-        """Return counts by path and window.
+        """Return counts by path, window and outcome.
 
         Parameters
         ----------
         windows : dict of str to float
-            Seconds by the window's name.
+            Length in seconds by the window's name.
         """
         moment = now()
         return {
@@ -148,17 +167,17 @@
 
 
 def total_of(rings, seconds, moment):
-    """Return counts over a window from the finest ring that holds it."""
-    if seconds <= MINUTE * MINUTES_KEPT:
+    """Return a window's counts from the finest ring that covers it."""
+    if seconds <= MINUTE_SECONDS * MINUTES_KEPT:
         return rings.minutes.total(seconds, moment)
     return rings.hours.total(seconds, moment)
 
 
-def outcome_of(objective, answer, elapsed):
+def classify_outcome(objective, answer, elapsed):
     """Return how one request counts against its objective.
 
-    A refusal that policy chose is told apart from a failure: it burns the
-    budget too, but asks for capacity, not for a repair.
+    Refusals by policy are counted apart from failures: they burn the error
+    budget too, but call for more capacity instead of a repair.
     """
     if answer.kind in POLICY_REFUSALS and answer.effect is Effect.NOT_RUN:
         return REFUSED
--- a/tests/unit/daemon/test_metrics_exposition.py
+++ b/tests/unit/daemon/test_metrics_exposition.py
@@ -40,7 +40,8 @@
         """A collector that truncates the page must not lose the gauges.
 
         After a few calls, histograms alone filled the part that it kept.
-        Counters followed them, and the state of the retry budget was lost.
+        Counters followed them, and gauges were not exported at all, so that
+        nobody saw how far a retry budget was used.
         """
         self.latencies.request_ended("svc/read", Answer(200), 0.3)
         _, text = await self.fetch()
