--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/decision_log.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/decision_log.py
@@ -1,4 +1,4 @@
-"""One line for each decision on a request: its inputs, and what came of it."""
+"""Logs decisions on requests as JSON lines, with their inputs and outcomes."""
 
 import json
 import time
@@ -7,30 +7,31 @@
 import orjson
 
 from papayabay_core.utils.clock import now
-from papayabay_daemon._internal.log_lines import Allowance
+from papayabay_daemon._internal.log_lines import LineRateLimit
 
 
 class DecisionLog:
-    """Writes what is decided on requests, as JSON lines.
+    """Writes decisions on requests as JSON lines, at a limited rate.
 
     Parameters
     ----------
     writer : LineWriter or None
         None writes nothing.
     version : callable or None
-        Returns the configuration version in force.
+        Returns the configuration version in force; not needed without a
+        writer.
     clock : callable
-        Seconds.
+        Returns seconds.
     """
 
     def __init__(self, writer=None, version=None, clock=now):
         self.writer = writer
         self.version = version
-        self.allowance = Allowance(clock)
+        self.rate_limit = LineRateLimit(clock)
 
     @property
     def enabled(self):
-        """Whether anything is written; inputs need not be gathered if not."""
+        """Whether lines are written; if not, callers need no inputs."""
         return self.writer is not None
 
     def record(self, decision, call_id, **inputs):
@@ -39,13 +40,14 @@
         Parameters
         ----------
         decision : str
-            Which kind, such as ``attempt``.
+            Kind of decision, such as ``attempt``.
         call_id : str
             The request's identifier.
         inputs : dict
-            What decided it, ages in milliseconds, and the outcome.
+            The inputs of the decision, with ages in milliseconds, and its
+            outcome.
         """
-        if not self.enabled or not self.allowance.take():
+        if not self.enabled or not self.rate_limit.acquire():
             return
         line = {
             "time": datetime.fromtimestamp(time.time(), UTC),
@@ -54,32 +56,32 @@
             "version": self.version(),
             **inputs,
         }
-        left_out, self.allowance.left_out = self.allowance.left_out, 0
-        if left_out or self.writer.dropped:
-            line["left_out"] = left_out + self.writer.dropped
+        suppressed, self.rate_limit.suppressed = self.rate_limit.suppressed, 0
+        if suppressed or self.writer.dropped:
+            line["left_out"] = suppressed + self.writer.dropped
             self.writer.dropped = 0
-        self.writer.keep(encode_line(line))
+        self.writer.enqueue(encode_line(line))
 
     def record_attempt(self, call, number, upstream, answer, elapsed):
-        """Write where an attempt was sent, by what, and how it ended.
+        """Write the upstream, the inputs and the outcome of an attempt.
 
-        A first attempt that was answered well gets no line: nothing was
-        decided that anybody asks about later, and such lines were nine of
-        ten. The histograms count them.
+        A successful first attempt gets no line. Such lines would be nine in
+        ten and hold no decision worth tracing; the latency histograms count
+        these attempts.
 
         Parameters
         ----------
         call : Call
         number : int
-            Of the attempt, from 1.
+            Number of the attempt, from 1.
         upstream : dict or None
             What was known of the chosen upstream; see `Router.explain`.
         answer : Answer or None
-            None when it was cancelled.
+            None when the attempt was cancelled.
         elapsed : float
             Seconds.
         """
-        if number == 1 and answer is not None and is_good(answer):
+        if number == 1 and answer is not None and is_success(answer):
             return
         self.record(
             "attempt",
@@ -97,7 +99,7 @@
         )
 
     def record_answer(self, call_id, answer, **inputs):
-        """Write that a request ended with an answer of papayabay's own."""
+        """Write that papayabay itself answered a request, and why."""
         self.record(
             "answer",
             call_id,
@@ -109,10 +111,10 @@
 
 
 def encode_line(line):
-    """Return a line as JSON with its end.
+    """Return a line as JSON with a newline.
 
-    Text that came over the wire may be no Unicode; the quick encoder refuses
-    it, and a call must not end because nobody can write about it.
+    Text from the wire may be invalid Unicode, which orjson rejects; the
+    standard encoder escapes it, so that a call does not fail on its log line.
     """
     try:
         return orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE)
@@ -120,13 +122,13 @@
         return json.dumps(line, default=str).encode() + b"\n"
 
 
-def is_good(answer):
-    """Return whether a target gave an answer that tells of no failure."""
+def is_success(answer):
+    """Return whether a target answered without reporting a failure."""
     return answer.kind is None and not answer.failed
 
 
 def outcome_of(answer):
-    """Return in a word how an attempt ended."""
+    """Return the name of an attempt's outcome; `answer` may be None."""
     if answer is None:
         return "cancelled"
     return "answered" if answer.kind is None else answer.kind.name.lower()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/log_lines.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/log_lines.py
@@ -1,67 +1,75 @@
-"""Log lines on their way out of the process: never waited for, and bounded."""
+"""Writes log lines without blocking, through a bounded buffer."""
 
 import asyncio
 import os
 from collections import deque
 
 BUFFER_BYTES = 256 * 1024
-"""Buffered output of a slow reader; about a thousand lines."""
+"""Limit of output that waits for a slow reader, about a thousand lines."""
 FLUSH_SECONDS = 0.1
-"""How long lines on single requests are batched."""
+"""Interval at which batched lines are written."""
 FLUSH_BYTES = 16 * 1024
-"""Batch size that is written at once."""
+"""Size of a batch that is written without waiting for the interval."""
 LINES_PER_SECOND = 300.0
 """Rate limit of lines on single requests."""
 BURST_LINES = 600.0
+"""Burst that the rate limit allows."""
 
 
 class LineWriter:
-    """Writes lines to a file descriptor that may take no more for a while.
+    """Writes lines to a file descriptor whose reader may be slow.
 
-    Lines that exceed the buffer are dropped, and their number is written with
-    the next line: waiting for the reader would block all calls.
+    The descriptor is set to non-blocking mode, because waiting for the reader
+    would block all calls. Output that it does not accept is buffered; lines
+    that exceed the buffer are dropped. `DecisionLog` writes their number with
+    its next line.
 
     Parameters
     ----------
     descriptor : int
+
+    Attributes
+    ----------
+    dropped : int
+        Lines dropped since their number was last written.
     """
 
     def __init__(self, descriptor):
         self.descriptor = descriptor
-        self.waiting = deque()
-        self.waiting_bytes = 0
+        self.buffer = deque()
+        self.buffered_bytes = 0
         self.dropped = 0
         os.set_blocking(self.descriptor, False)
 
     def write(self, line):
-        """Write a line, and all that wait before it; drop what is too much.
+        """Write a line at once, after all that are buffered.
 
         Parameters
         ----------
         line : str
-            Without its end.
+            Without a newline.
         """
-        self.keep((line + "\n").encode("utf-8", "backslashreplace"))
+        self.enqueue((line + "\n").encode("utf-8", "backslashreplace"))
         self.flush()
 
-    def keep(self, content):
-        """Write a line soon, together with others.
+    def enqueue(self, content):
+        """Add a line to the current batch, or drop it if the buffer is full.
 
         Parameters
         ----------
         content : bytes
-            With its end.
+            With its newline.
         """
-        if self.waiting_bytes + len(content) > BUFFER_BYTES:
+        if self.buffered_bytes + len(content) > BUFFER_BYTES:
             self.dropped += 1
             return
-        self.waiting.append(content)
-        self.waiting_bytes += len(content)
-        if self.waiting_bytes >= FLUSH_BYTES:
+        self.buffer.append(content)
+        self.buffered_bytes += len(content)
+        if self.buffered_bytes >= FLUSH_BYTES:
             self.flush()
 
     async def run(self):
-        """Write what waits for the reader again and again, until cancelled."""
+        """Flush the buffer at each interval, until cancelled."""
         try:
             while True:
                 await asyncio.sleep(FLUSH_SECONDS)
@@ -70,51 +78,56 @@
             self.flush()
 
     def flush(self):
-        """Write what waits, as far as the descriptor takes it."""
-        while self.waiting:
-            content = b"".join(self.waiting)
-            self.waiting.clear()
-            self.waiting.append(content)
+        """Write as much of the buffer as the descriptor accepts."""
+        while self.buffer:
+            content = b"".join(self.buffer)
+            self.buffer.clear()
+            self.buffer.append(content)
             try:
                 written = os.write(self.descriptor, content)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more. There is no other place to tell it.
-                self.dropped += len(self.waiting)
-                self.waiting.clear()
-                self.waiting_bytes = 0
+                # The reader is gone, and there is no other place to log it.
+                self.dropped += len(self.buffer)
+                self.buffer.clear()
+                self.buffered_bytes = 0
                 return
-            self.waiting_bytes -= written
+            self.buffered_bytes -= written
             if written < len(content):
-                self.waiting[0] = content[written:]
+                self.buffer[0] = content[written:]
                 return
-            self.waiting.popleft()
+            self.buffer.popleft()
 
 
-class Allowance:
-    """How many lines on single requests may still be written.
+class LineRateLimit:
+    """Token bucket for lines on single requests.
 
     Parameters
     ----------
     clock : callable
-        Seconds.
+        Returns seconds.
+
+    Attributes
+    ----------
+    suppressed : int
+        Lines refused since their number was last written.
     """
 
     def __init__(self, clock):
         self.clock = clock
-        self.lines = BURST_LINES
+        self.tokens = BURST_LINES
         self.refilled_at = clock()
-        self.left_out = 0
-
-    def take(self):
-        """Return whether one more line may be written; count it if not."""
-        at = self.clock()
-        earned = (at - self.refilled_at) * LINES_PER_SECOND
-        self.refilled_at = at
-        self.lines = min(BURST_LINES, self.lines + earned)
-        if self.lines < 1.0:
-            self.left_out += 1
+        self.suppressed = 0
+
+    def acquire(self):
+        """Return whether a line may be written, or count it as suppressed."""
+        moment = self.clock()
+        refill = (moment - self.refilled_at) * LINES_PER_SECOND
+        self.refilled_at = moment
+        self.tokens = min(BURST_LINES, self.tokens + refill)
+        if self.tokens < 1.0:
+            self.suppressed += 1
             return False
-        self.lines -= 1.0
+        self.tokens -= 1.0
         return True
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/logs.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/logs.py
@@ -1,4 +1,4 @@
-"""Where log records go: human lines or JSON lines, never waited for."""
+"""Configures logging: text or JSON lines, written without blocking."""
 
 import json
 import sys
@@ -7,14 +7,14 @@
 
 from papayabay_daemon._internal.log_lines import LineWriter
 
-HUMAN_FORMAT = (
+TEXT_FORMAT = (
     "{record.time:%Y-%m-%dT%H:%M:%S.%f} {record.level_name} "
     "{record.channel}: {record.message}"
 )
 
 
 def json_line(record, handler):
-    """Return a log record as one JSON line."""
+    """Return a log record as one line of JSON, for `LineHandler`."""
     line = {
         "time": record.time.isoformat(),
         "level": record.level_name,
@@ -33,6 +33,7 @@
     ----------
     writer : LineWriter
     level : str
+        Lowest level that is written.
     """
 
     def __init__(self, writer, level):
@@ -45,8 +46,8 @@
         self.writer.write(self.format(record))
 
 
-def set_up_logs(settings):
-    """Send log records where and in the form that settings name.
+def configure_logging(settings):
+    """Send log records to the stream, and in the format, of the settings.
 
     Parameters
     ----------
@@ -55,6 +56,7 @@
     Returns
     -------
     LineWriter
+        Also takes the lines of the decision log.
     """
     logbook.set_datetime_format("utc")
     stream = sys.stdout if settings.output == "stdout" else sys.stderr
@@ -63,6 +65,6 @@
     if settings.format == "json":
         handler.formatter = json_line
     else:
-        handler.format_string = HUMAN_FORMAT
+        handler.format_string = TEXT_FORMAT
     handler.push_application()
     return writer
--- a/packages/papayabay-daemon/src/papayabay_daemon/main.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/main.py
@@ -63,11 +63,11 @@
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
 
-    from papayabay_daemon._internal.logs import set_up_logs
+    from papayabay_daemon._internal.logs import configure_logging
     from papayabay_daemon.daemon import Daemon
 
     settings = file.settings
-    writer = set_up_logs(settings.logs)
+    writer = configure_logging(settings.logs)
 
     async def run_daemon():
         environment = make_environment(settings) if make_environment else None
--- a/tests/unit/daemon/test_log_lines.py
+++ b/tests/unit/daemon/test_log_lines.py
@@ -1,3 +1,5 @@
+"""Tests of writing log lines: buffering, rate limit and decision lines."""
+
 import json
 import os
 import unittest
@@ -22,42 +24,42 @@
         self.writer = LineWriter(write_end)
 
     def drain(self):
-        """Return what the pipe holds."""
+        """Return the content of the pipe."""
         os.set_blocking(self.read_end, False)
-        parts = []
+        chunks = []
         while True:
             try:
-                parts.append(os.read(self.read_end, 65_536))
+                chunks.append(os.read(self.read_end, 65_536))
             except BlockingIOError:
-                return b"".join(parts)
+                return b"".join(chunks)
 
     def lines(self):
         return [json.loads(line) for line in self.texts()]
 
     def texts(self):
-        """Return all lines, those that waited for the pipe too."""
+        """Return all lines, including buffered ones."""
         self.writer.flush()
         content = self.drain()
-        while self.writer.waiting:
+        while self.writer.buffer:
             self.writer.flush()
             content += self.drain()
         return content.splitlines()
 
 
 class LineWriterTest(PipeTestCase):
-    def test_a_reader_that_stops_holds_up_nothing(self):
-        """All calls of a daemon stood still.
+    def test_writing_does_not_block_when_the_reader_stops(self):
+        """A stopped log reader must not block the daemon's calls.
 
-        Whoever reads its log stops reading. The pipe fills, and the next
-        line would wait in the middle of a call until somebody reads.
+        The pipe fills up, and a blocking write in the middle of a call would
+        wait until it is read again.
         """
         line = "x" * 1_000
         for _ in range(2_000):
             self.writer.write(line)
         self.assertGreater(self.writer.dropped, 0)
-        self.assertLessEqual(self.writer.waiting_bytes, BUFFER_BYTES)
-        kept = 2_000 - self.writer.dropped
-        self.assertEqual(self.texts(), [line.encode()] * kept)
+        self.assertLessEqual(self.writer.buffered_bytes, BUFFER_BYTES)
+        buffered = 2_000 - self.writer.dropped
+        self.assertEqual(self.texts(), [line.encode()] * buffered)
 
 
 class DecisionTest(PipeTestCase):
@@ -66,7 +68,7 @@
         self.clock = FakeClock()
         self.log = DecisionLog(self.writer, lambda: 7, self.clock)
 
-    def test_an_attempt_tells_its_inputs_and_its_end(self):
+    def test_attempt_line_has_inputs_and_outcome(self):
         upstream = {"name": "b", "heard_ms": 12}
         self.log.record_attempt(call(), 1, upstream, Answer(500), 0.25)
         refused = Answer(503, kind=ErrorKind.OVERLOADED)
@@ -79,30 +81,30 @@
         self.assertEqual(second["outcome"], "overloaded")
         self.assertEqual(third["outcome"], "cancelled")
 
-    def test_an_ordinary_success_gets_no_line(self):
-        """Load: calls that end well at their first attempt, nine in ten."""
+    def test_successful_first_attempt_gets_no_line(self):
+        """Such attempts are nine in ten and hold no decision to trace."""
         self.log.record_attempt(call(), 1, {}, Answer(200), 0.25)
         self.assertEqual(self.lines(), [])
         self.log.record_attempt(call(), 2, {}, Answer(200), 0.25)
         self.assertEqual([line["attempt"] for line in self.lines()], [2])
 
-    def test_lines_on_requests_are_written_together(self):
-        """Load: an overload, with hundreds of refusals a second."""
+    def test_decision_lines_are_written_in_batches(self):
+        """An overload causes hundreds of refusals, and lines, a second."""
         for number in range(5):
             self.log.record("admission", f"r{number}", outcome="overloaded")
         self.assertEqual(self.drain(), b"")
         self.writer.write("a line of state")
         self.assertEqual(len(self.drain().splitlines()), 6)
 
-    def test_text_that_is_no_unicode_is_written_too(self):
-        """Symptom: a request with odd bytes in its id failed.
+    def test_invalid_unicode_is_written(self):
+        """A request must not fail because its log line can't be encoded.
 
-        Cause: the line about it could not be encoded.
+        That happened with an identifier that is not valid Unicode.
         """
         self.log.record("answer", "r\udcff", outcome="overloaded")
         self.assertEqual(self.lines()[0]["request"], "r\udcff")
 
-    def test_a_flood_is_bounded_and_what_is_left_out_is_counted(self):
+    def test_rate_is_limited_and_suppressed_lines_are_counted(self):
         flood = int(BURST_LINES) + 50
         for number in range(flood):
             self.log.record("admission", f"r{number}", outcome="overloaded")
