--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/aggregated_log.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/aggregated_log.py
@@ -1,33 +1,40 @@
-"""Log lines that sum up changes of which thousands may come at once."""
+"""Aggregates bursts of similar changes into single log lines."""
 
 import asyncio
 
 PERIOD_SECONDS = 1.0
+"""Time from the first change to the line that reports it."""
 NAMES_SHOWN = 3
 
 
 class AggregatedLog:
-    """Logs how many things changed in the same way, once a second at most.
+    """Logs the number of changes of one kind, at most once a second.
 
-    When a failure domain is lost, hundreds of members change within a few
-    seconds. A line for each, at every daemon, would bury all other lines.
+    When a failure domain fails, hundreds of members change their state within
+    a few seconds. A line for each, at every daemon, would bury all others.
 
     Parameters
     ----------
     write : callable
         Method of the logger for the level, such as ``log.notice``.
-    what : str
+    subject : str
         Begins the line, such as ``members declared dead``.
     """
 
-    def __init__(self, write, what):
+    def __init__(self, write, subject):
         self.write = write
-        self.what = what
+        self.subject = subject
         self.count = 0
         self.names = []
 
     def add(self, name):
-        """Count one change; the line follows within `PERIOD_SECONDS`."""
+        """Count a change; it is logged within `PERIOD_SECONDS`.
+
+        Parameters
+        ----------
+        name : str
+            What has changed, such as a member's name.
+        """
         self.count += 1
         if len(self.names) < NAMES_SHOWN:
             self.names.append(name)
@@ -36,13 +43,13 @@
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
-            # Without a loop nothing would ever write what is counted.
+            # There is no running loop to schedule the line on.
             self.flush()
         else:
             loop.call_later(PERIOD_SECONDS, self.flush)
 
     def flush(self):
-        """Log what has been counted."""
+        """Log the changes counted so far, with the first few names."""
         count, names = self.count, self.names
         self.count, self.names = 0, []
-        self.write("{}: {} (first: {})", self.what, count, ", ".join(names))
+        self.write("{}: {} (first: {})", self.subject, count, ", ".join(names))
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/outage.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/outage.py
@@ -1,14 +1,16 @@
-"""Outages of the platform's store."""
+"""Logs outages of the platform's store."""
 
 
 class Outage:
-    """Logs that the store went out of reach or came back, each once.
+    """Logs the beginning and the end of a store outage, once each.
+
+    Callers record the result of each access to the store.
 
     Parameters
     ----------
     log : logbook.Logger
     subject : str
-        What can't be reached, for the log.
+        What is read from or written to the store; begins the log lines.
 
     Attributes
     ----------
@@ -22,13 +24,13 @@
         self.active = False
 
     def record_failure(self, error):
-        """Note a failure."""
+        """Record a failed access; log the first failure of an outage."""
         if not self.active:
             self.active = True
             self.log.warning("{} can't be reached: {}", self.subject, error)
 
     def record_success(self):
-        """Note a success."""
+        """Record a successful access; log the end of an outage."""
         if self.active:
             self.active = False
             self.log.notice("{} can be reached again", self.subject)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/settings_file.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/settings_file.py
@@ -1,4 +1,4 @@
-"""Follows the settings file while the daemon runs."""
+"""Reloads the settings file while the daemon runs."""
 
 import asyncio
 import os
@@ -8,12 +8,12 @@
 from papayabay_core.exceptions import SettingsError
 
 CHECK_SECONDS = 2.0
-"""How often the file is looked at; it may change without any signal."""
+"""Interval of checks for a change that comes without a SIGHUP."""
 log = logbook.Logger("papayabay.settings")
 
 
 class SettingsFile:
-    """The file that the settings came from.
+    """The file that the settings were loaded from, reloaded when it changes.
 
     Parameters
     ----------
@@ -21,12 +21,12 @@
     load : callable
         Takes the path and returns the settings; raises `SettingsError`.
     settings : DaemonSettings
-        As loaded at the start.
+        As loaded when the daemon started.
 
     Attributes
     ----------
     listeners : list of callable
-        Called with the settings after each change.
+        Called with the settings after each successful reload.
     """
 
     def __init__(self, path, load, settings):
@@ -34,34 +34,45 @@
         self.load = load
         self.settings = settings
         self.listeners = []
-        self.stamp = self.look()
+        self.stamp = self.read_stamp()
 
-    def look(self):
-        """Return what differs once the file was written anew."""
+    def read_stamp(self):
+        """Return a value that changes when the file is rewritten or replaced.
+
+        None without a file.
+        """
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError:
             return None
-        return (found.st_mtime_ns, found.st_size, found.st_ino)
+        return (status.st_mtime_ns, status.st_size, status.st_ino)
 
     async def run(self):
-        """Reload whenever the file looks different, until cancelled."""
+        """Reload the file whenever it has changed, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_SECONDS)
-            if self.look() != self.stamp:
+            if self.read_stamp() != self.stamp:
                 self.reload("the file changed")
 
     def reload(self, reason):
-        """Take over the file's settings; keep to the old ones if it is bad.
+        """Load the file again; keep the previous settings if it is invalid.
+
+        An incompletely written or invalid file must not end a running daemon.
 
-        A file that is being written, or that holds a mistake, must not end a
-        daemon that serves.
+        Parameters
+        ----------
+        reason : str
+            What caused the reload, for the log.
         """
-        self.stamp = self.look()
+        self.stamp = self.read_stamp()
         try:
             settings = self.load(self.path)
         except SettingsError as error:
-            log.error("settings not reloaded ({}): {}", reason, error)
+            log.error(
+                "settings not reloaded ({}): {}; keeping the previous settings",
+                reason,
+                error,
+            )
             return
         changed = changed_keys(self.settings.model_dump(), settings.model_dump())
         self.settings = settings
@@ -71,7 +82,7 @@
 
 
 def changed_keys(old, new):
-    """Return the dotted names of the keys whose values differ, in order."""
+    """Return the dotted names of the settings whose values differ."""
     return [
         f"{table}.{key}"
         for table, values in new.items()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/supervisor.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor tree: who runs, and what happens when one of them fails."""
+"""Supervisor tree: runs the daemon's tasks and restarts them on failure."""
 
 import asyncio
 from collections import deque
@@ -9,9 +9,10 @@
 
 from papayabay_core.utils.clock import now
 
-FIRST_PAUSE_SECONDS = 0.2
-LONGEST_PAUSE_SECONDS = 5.0
-MOST_FAILURES = 5
+INITIAL_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 5.0
+MAX_FAILURES = 5
+"""Failures of a child within `FAILURE_WINDOW_SECONDS` that are tolerated."""
 FAILURE_WINDOW_SECONDS = 60.0
 
 log = logbook.Logger("papayabay.supervisor")
@@ -19,13 +20,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Child:
-    """One supervised part.
+    """One supervised task.
 
     Attributes
     ----------
     name : str
     run : callable
-        Returns the coroutine to run; called anew for each restart.
+        Returns the coroutine to run; called again for each restart.
     """
 
     name: str
@@ -33,16 +34,21 @@
 
 
 class Supervisor:
-    """Runs children side by side, and restarts one that fails.
+    """Runs children concurrently, and restarts those that fail.
 
-    A child that fails more than `MOST_FAILURES` times within a minute ends
-    the supervisor with an exception group, so that the fault goes up the
-    tree: a daemon that can't be healed by restarts ends, and is replaced.
+    A child that fails more than `MAX_FAILURES` times within a minute ends the
+    supervisor with an exception group, which propagates up the tree: a daemon
+    that restarts do not repair exits, so that it can be replaced.
 
     Parameters
     ----------
     name : str
     children : list of Child
+
+    Attributes
+    ----------
+    restarts : dict of str to int
+        Restarts by the child's name.
     """
 
     def __init__(self, name, children):
@@ -51,40 +57,40 @@
         self.restarts = {child.name: 0 for child in children}
 
     async def run(self):
-        """Run until every child has ended, or one fails for good."""
+        """Run until every child has ended, or one has failed too often."""
         async with asyncio.TaskGroup() as group:
             for child in self.children:
                 group.create_task(self.supervise(child), name=child.name)
 
     async def supervise(self, child):
-        """Run one child, again after each failure."""
+        """Run one child, and restart it after each failure."""
         failures = deque()
         while True:
             try:
                 return await child.run()
             except Exception as error:
-                self.note_failure(child, failures, error)
-            await asyncio.sleep(pause_after(len(failures)))
+                self.record_failure(child, failures, error)
+            await asyncio.sleep(backoff_seconds(len(failures)))
 
-    def note_failure(self, child, failures, error):
-        """Count a failure; raise it when there have been too many."""
+    def record_failure(self, child, failures, error):
+        """Log and count a failure; raise it after too many in the window."""
         moment = now()
         failures.append(moment)
         while failures[0] < moment - FAILURE_WINDOW_SECONDS:
             failures.popleft()
         self.restarts[child.name] += 1
         log.error(
-            "{} of {} failed ({} in a minute): {!r}",
+            "{} of supervisor {} failed, {} times within a minute: {!r}",
             child.name,
             self.name,
             len(failures),
             error,
             exc_info=True,
         )
-        if len(failures) > MOST_FAILURES:
+        if len(failures) > MAX_FAILURES:
             raise error
 
 
-def pause_after(failures):
-    """Return the seconds to wait before a restart; doubles each time."""
-    return min(LONGEST_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2 ** (failures - 1))
+def backoff_seconds(failures):
+    """Return the delay before a restart, which doubles with each failure."""
+    return min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2 ** (failures - 1))
--- a/tests/unit/daemon/test_settings_file.py
+++ b/tests/unit/daemon/test_settings_file.py
@@ -1,3 +1,5 @@
+"""Tests of reloading the settings file."""
+
 import tempfile
 import unittest
 from pathlib import Path
@@ -21,31 +23,31 @@
 
 class SettingsFileTest(unittest.TestCase):
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = Path(folder.name) / "daemon.toml"
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = Path(directory.name) / "daemon.toml"
         self.path.write_text(SETTINGS)
         self.file = open_settings(self.path, load_settings)
-        self.heard = []
-        self.file.listeners.append(self.heard.append)
+        self.reloaded = []
+        self.file.listeners.append(self.reloaded.append)
 
-    def test_a_changed_file_is_taken_over(self):
-        self.assertEqual(self.file.look(), self.file.stamp)
+    def test_changed_file_is_reloaded(self):
+        self.assertEqual(self.file.read_stamp(), self.file.stamp)
         self.path.write_text(SETTINGS.replace("1000", "20000"))
-        self.assertNotEqual(self.file.look(), self.file.stamp)
+        self.assertNotEqual(self.file.read_stamp(), self.file.stamp)
         self.file.reload("test")
-        self.assertEqual(self.heard[0].limits.drain_ms, 20_000)
-        self.assertEqual(self.file.look(), self.file.stamp)
+        self.assertEqual(self.reloaded[0].limits.drain_ms, 20_000)
+        self.assertEqual(self.file.read_stamp(), self.file.stamp)
 
-    def test_a_bad_or_missing_file_changes_nothing(self):
-        """A daemon that served was ended by a mistake in its settings.
+    def test_invalid_or_missing_file_keeps_settings(self):
+        """An invalid settings file must not end a running daemon.
 
-        The file is written anew, with a fault or just not yet whole, and the
-        daemon is told to read it again.
+        The daemon may be told to reload the file while it holds a mistake or
+        is not completely written yet.
         """
         self.path.write_text("[vm\n")
         self.file.reload("test")
         self.path.unlink()
         self.file.reload("test")
-        self.assertEqual(self.heard, [])
+        self.assertEqual(self.reloaded, [])
         self.assertEqual(self.file.settings.limits.drain_ms, 1_000)
--- a/tests/unit/daemon/test_supervisor.py
+++ b/tests/unit/daemon/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Restarts of failing parts, and failures that go up the tree."""
+"""Tests of restarts with backoff, and of failures that propagate upwards."""
 
 import asyncio
 import unittest
@@ -7,19 +7,19 @@
 import logbook
 
 from papayabay_daemon._internal import supervisor
-from papayabay_daemon._internal.supervisor import Child, Supervisor, pause_after
+from papayabay_daemon._internal.supervisor import Child, Supervisor, backoff_seconds
 
 WAIT = 10.0
 
 
 class Fault(Exception):
-    """What the children of these tests fail with."""
+    """Raised by the children of these tests."""
 
 
 class SupervisorTests(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.time = 1_000.0
-        self.passing = 0.0
+        self.seconds_per_pause = 0.0
         self.pauses = []
         self.runs = 0
         self.logged = logbook.TestHandler()
@@ -35,7 +35,7 @@
 
     async def pause(self, seconds):
         self.pauses.append(seconds)
-        self.time += self.passing
+        self.time += self.seconds_per_pause
 
     def failing(self, times):
         async def run():
@@ -51,14 +51,14 @@
             await parent.run()
         return parent
 
-    async def test_failing_child_runs_again_with_growing_pauses(self):
+    async def test_failing_child_is_restarted_with_growing_backoff(self):
         parent = await self.run_bounded(self.failing(3))
         self.assertEqual(self.runs, 4)
         self.assertEqual(parent.restarts, {"failing": 3})
         self.assertEqual(self.pauses, [0.2, 0.4, 0.8])
         self.assertEqual(len(self.logged.records), 3)
 
-    async def test_too_many_failures_end_all_with_an_exception_group(self):
+    async def test_too_many_failures_end_supervisor_with_exception_group(self):
         cancelled = []
 
         async def sibling():
@@ -72,16 +72,16 @@
             await self.run_bounded(self.failing(100), Child("sibling", sibling))
         (fault,) = caught.exception.exceptions
         self.assertIsInstance(fault, Fault)
-        self.assertEqual(self.runs, supervisor.MOST_FAILURES + 1)
+        self.assertEqual(self.runs, supervisor.MAX_FAILURES + 1)
         self.assertEqual(cancelled, [True])
 
-    async def test_failures_far_apart_do_not_add_up(self):
-        self.passing = supervisor.FAILURE_WINDOW_SECONDS + 1
+    async def test_failures_outside_the_window_do_not_count(self):
+        self.seconds_per_pause = supervisor.FAILURE_WINDOW_SECONDS + 1
         parent = await self.run_bounded(self.failing(20))
         self.assertEqual(parent.restarts, {"failing": 20})
-        self.assertEqual(set(self.pauses), {supervisor.FIRST_PAUSE_SECONDS})
+        self.assertEqual(set(self.pauses), {supervisor.INITIAL_BACKOFF_SECONDS})
 
-    async def test_cancelled_child_is_not_run_again(self):
+    async def test_cancelled_child_is_not_restarted(self):
         started = asyncio.Event()
 
         async def run():
@@ -98,6 +98,6 @@
                 await task
         self.assertEqual((self.runs, parent.restarts), (1, {"waiting": 0}))
 
-    async def test_pause_is_bounded(self):
-        self.assertEqual(pause_after(5), 3.2)
-        self.assertEqual(pause_after(30), supervisor.LONGEST_PAUSE_SECONDS)
+    async def test_backoff_is_bounded(self):
+        self.assertEqual(backoff_seconds(5), 3.2)
+        self.assertEqual(backoff_seconds(30), supervisor.MAX_BACKOFF_SECONDS)
