--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of the daemon's process: start, drain and close."""
+"""Starts, drains and closes the daemon's process."""
 
 import asyncio
 import gc
@@ -11,18 +11,18 @@
 
 from papayabay_core.exceptions import SettingsError
 
-CLOSE_SECONDS = 0.6
-"""Longest time for closing, after everything was drained: two thirds of what
-the platform leaves of the time until it kills."""
-COLLECT_AFTER = 20_000
-"""Objects that are made, beyond those freed, before the youngest are searched
-for cycles. A call makes some hundred, and nearly all are freed without: with
-Python's 700 it was searched at every few calls."""
+CLOSE_TIMEOUT_SECONDS = 0.6
+"""Limit for closing all components after the drain: two thirds of the time
+that then remains until the platform kills the process."""
+GC_THRESHOLD_OBJECTS = 20_000
+"""Net allocations that start a collection of the youngest generation. A call
+allocates about a hundred objects and reference counting frees nearly all of
+them; Python's default of 700 caused a collection every few calls."""
 log = logbook.Logger("papayabay.daemon")
 
 
 class Lifecycle:
-    """Opens the parts of a daemon, and closes them in the right order.
+    """Starts the components of a daemon, and closes them in order.
 
     Parameters
     ----------
@@ -31,54 +31,60 @@
 
     def __init__(self, daemon):
         self.daemon = daemon
-        self.stopping = asyncio.Event()
+        self.stop_requested = asyncio.Event()
 
     async def run(self):
         """Run until SIGTERM, then drain; return the exit code."""
         daemon = self.daemon
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stopping.set)
+            loop.add_signal_handler(number, self.stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, daemon.reload, "SIGHUP")
         try:
             await daemon.start()
         except SettingsError:
             await daemon.close()
             raise
-        settle_memory()
+        freeze_startup_objects()
         supervision = asyncio.create_task(daemon.supervisor.run())
-        stopping = asyncio.create_task(self.stopping.wait())
+        stopping = asyncio.create_task(self.stop_requested.wait())
         print(json.dumps(self.ready_line()), flush=True)
         await asyncio.wait({supervision, stopping}, return_when=asyncio.FIRST_COMPLETED)
         stopping.cancel()
         if supervision.done():
             await daemon.close()
-            return report_failure(supervision)
+            return log_failure(supervision)
         await self.drain()
-        await self.close_soon(supervision)
+        await self.close_within_limit(supervision)
         return 0
 
     async def start(self):
-        """Open every port; gossip starts once the others are known."""
+        """Open all ports.
+
+        Gossip starts after the link and status ports are open, because it
+        announces their numbers. The caller port is opened last.
+        """
         daemon = self.daemon
         vm, loopback = daemon.settings.vm, daemon.settings.loopback
-        with opening("vm", vm.host, "link_port", vm.link_port):
+        with opening_port("vm", vm.host, "link_port", vm.link_port):
             await daemon.links.start()
-        with opening("loopback", loopback.host, "status_port", loopback.status_port):
+        with opening_port(
+            "loopback", loopback.host, "status_port", loopback.status_port
+        ):
             await daemon.status_door.start()
         daemon.membership.set_ports(
             daemon.membership.local.link_port, daemon.status_door.port
         )
-        with opening("vm", vm.host, "gossip_port", vm.gossip_port):
+        with opening_port("vm", vm.host, "gossip_port", vm.gossip_port):
             await daemon.membership.start()
         for listener in daemon.listeners:
-            with opening("loopback", listener.host, "target_port", listener.port):
+            with opening_port("loopback", listener.host, "target_port", listener.port):
                 await listener.start()
-        with opening("vm", vm.host, "caller_port", vm.caller_port):
+        with opening_port("vm", vm.host, "caller_port", vm.caller_port):
             await daemon.caller_door.start()
 
     def ready_line(self):
-        """Return what is printed once every port is open."""
+        """Return the object that is printed once all ports are open."""
         daemon = self.daemon
         return {
             "ready": True,
@@ -91,20 +97,20 @@
         }
 
     async def drain(self):
-        """Leave without cutting a request.
-
-        First callers that ask whether this daemon is ready learn that it is
-        not, and need time for it. Nothing is refused meanwhile: the target
-        beside it is well, and this daemon the only way to it. Then new work
-        is refused at once, `not run`, so that it goes elsewhere even while
-        nobody has heard the gossip. Requests that entered here, and calls
-        that the target is running, go on to their ends; the target's
-        outgoing calls too.
+        """Leave the fleet without cutting off a request.
+
+        First only the readiness check reports that this daemon is stopping,
+        and callers get time to notice. Nothing is refused meanwhile: the
+        target is healthy and can be reached only through this daemon. Then
+        new calls are refused as `not run`, so that they are sent elsewhere
+        even by daemons that the gossip has not reached yet. Requests that
+        entered here, calls that the target is running and the target's
+        outgoing calls run to their end, within the limit for the drain.
         """
         daemon = self.daemon
         daemon.stopping = True
         limits = daemon.settings.limits
-        log.notice("stopping: not ready any more")
+        log.notice("stopping: reporting not ready, still accepting requests")
         try:
             async with asyncio.timeout(limits.drain_ms / 1000):
                 await asyncio.sleep(limits.leaving_accept_ms / 1000)
@@ -112,24 +118,27 @@
                 await daemon.admission.wait_until_idle()
                 await daemon.flow.idle.wait()
         except TimeoutError:
-            log.warning("drain took too long; {} calls cut", len(daemon.tree.live))
+            log.warning(
+                "drain not finished in time; cutting off {} calls",
+                len(daemon.tree.live),
+            )
         log.notice("drained")
 
     async def leave(self, limits):
-        """Take no new work, and let all others know."""
+        """Refuse new calls, and announce that this daemon is leaving."""
         daemon = self.daemon
-        log.notice("leaving: no new work, draining")
+        log.notice("leaving: refusing new calls, draining")
         daemon.leaving = True
         daemon.limit_owner.is_leaving = True
         daemon.admission.stop_admitting()
         await daemon.links.announce_leaving()
-        await asyncio.gather(self.end_entry(limits), daemon.membership.leave())
+        await asyncio.gather(self.stop_caller_entry(limits), daemon.membership.leave())
 
-    async def end_entry(self, limits):
-        """Take no more requests of callers.
+    async def stop_caller_entry(self, limits):
+        """Stop accepting callers' connections, then refuse their requests.
 
-        Where the target's own calls come by the same door, it stays open for
-        them to the end.
+        Requests on open connections are accepted for a grace period. The door
+        stays open if the target's outgoing calls use it too.
         """
         daemon = self.daemon
         daemon.caller_door.end_connections()
@@ -138,24 +147,27 @@
         await asyncio.sleep(limits.leaving_grace_ms / 1000)
         daemon.flow.draining = True
 
-    async def close_soon(self, supervision):
-        """End and close all parts, if that takes no longer than it may.
+    async def close_within_limit(self, supervision):
+        """Stop the supervisor and close all components, within a time limit.
 
-        Parts that are still busy each wait a little for what they cancel.
-        Together that can last until the process is killed, which its platform
-        takes for a fault; nothing is left by then that is worth waiting for.
+        Components that are still busy wait one after the other for the tasks
+        that they cancel. That could last until the platform kills the process
+        and records a fault, although the drain has left nothing to wait for.
         """
         try:
-            async with asyncio.timeout(CLOSE_SECONDS):
+            async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
                 supervision.cancel()
                 await asyncio.gather(supervision, return_exceptions=True)
                 await self.daemon.close()
         except TimeoutError:
-            log.warning("parts were still busy after {} s", CLOSE_SECONDS)
+            log.warning(
+                "components still closing after {} s; exiting",
+                CLOSE_TIMEOUT_SECONDS,
+            )
         log.notice("stopped")
 
     async def close(self):
-        """Close every part."""
+        """Close all components."""
         daemon = self.daemon
         await daemon.gate.close()
         await daemon.caller_door.close()
@@ -169,13 +181,19 @@
 
 
 @contextmanager
-def opening(table, host, key, port):
-    """Name the setting to mend when a port can't be opened.
+def opening_port(table, host, key, port):
+    """Convert an `OSError` on opening a port into a `SettingsError`.
+
+    Parameters
+    ----------
+    table, key : str
+        Table and name of the port's setting, which the error names.
+    host : str
+    port : int
 
     Raises
     ------
     SettingsError
-        In place of the `OSError`.
     """
     try:
         yield
@@ -187,21 +205,21 @@
         ) from None
 
 
-def settle_memory():
-    """Take what a started daemon consists of out of the collector's sight.
+def freeze_startup_objects():
+    """Exclude the objects of the started daemon from garbage collection.
 
-    A full collection would look at all modules and classes again and find
-    nothing: some 30 ms in which no call goes on, which shows as a few
-    very slow calls now and then. What calls leave behind is collected as
-    before, in a fraction of a millisecond.
+    Otherwise a full collection would traverse all modules and classes and
+    free nothing. It takes about 30 ms, during which all calls are paused, and
+    causes occasional slow calls. Garbage of calls is still collected, in a
+    fraction of a millisecond.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS)
 
 
-def report_failure(supervision):
-    """Log why the supervisor gave up; return the exit code."""
+def log_failure(supervision):
+    """Log why the supervisor ended; return the exit code."""
     error = supervision.exception()
-    log.critical("a part failed for good: {!r}", error)
+    log.critical("supervisor gave up on a failing task; exiting: {!r}", error)
     return 1
--- a/tests/unit/daemon/test_counter_sources.py
+++ b/tests/unit/daemon/test_counter_sources.py
@@ -1,4 +1,4 @@
-"""What the daemon counts is in its metrics, under names for statsd."""
+"""Tests that all counters are in the metrics, under names valid for statsd."""
 
 import re
 import unittest
@@ -6,7 +6,7 @@
 from papayabay_core.settings import DaemonSettings
 from papayabay_daemon.daemon import Daemon
 
-NAME = re.compile(r"[A-Za-z0-9._/-]+")
+STATSD_NAME = re.compile(r"[A-Za-z0-9._/-]+")
 SETTINGS = {
     "vm": {"name": "a", "failure_domain": "d"},
     "cluster": {"secret": "long enough"},
@@ -19,10 +19,11 @@
         self.daemon = Daemon(DaemonSettings.model_validate(SETTINGS))
         self.addAsyncCleanup(self.daemon.close)
 
-    async def test_every_part_is_counted(self):
-        """Symptom: a full key table showed nowhere.
+    async def test_counters_of_all_components_are_in_the_metrics(self):
+        """Counters of a component must not be missing from the metrics.
 
-        Sequence: parts count, nobody lists them as a source of metrics.
+        That happened to a full key table, which counted its refusals but was
+        not listed as a source of metrics.
         """
         daemon = self.daemon
         daemon.gate.key_table.counters["full"] += 2
@@ -45,7 +46,7 @@
             "links.calls_unsent": 9,
         }
         self.assertEqual({name: totals[name] for name in expected}, expected)
-        self.assertEqual([n for n in totals if not NAME.fullmatch(n)], [])
+        self.assertEqual([n for n in totals if not STATSD_NAME.fullmatch(n)], [])
 
 
 if __name__ == "__main__":
--- a/tests/unit/daemon/test_lifecycle.py
+++ b/tests/unit/daemon/test_lifecycle.py
@@ -1,3 +1,5 @@
+"""Tests of closing the daemon."""
+
 import asyncio
 import unittest
 from types import SimpleNamespace
@@ -7,12 +9,12 @@
 
 
 class ClosingTest(unittest.IsolatedAsyncioTestCase):
-    @mock.patch.object(lifecycle, "CLOSE_SECONDS", 0.05)
-    async def test_a_part_that_does_not_close_holds_up_no_end(self):
-        """A daemon was killed at the end of its grace time.
+    @mock.patch.object(lifecycle, "CLOSE_TIMEOUT_SECONDS", 0.05)
+    async def test_component_that_does_not_close_does_not_delay_the_exit(self):
+        """A drained daemon must exit before the platform kills it.
 
-        Everything was drained, or cut when its time was over; then doors and
-        links waited, one after the other, for what they had cancelled.
+        After the drain, doors and links waited one after the other for the
+        tasks that they had cancelled, longer than the platform's grace period.
         """
         closing = asyncio.Event()
 
@@ -21,7 +23,7 @@
             await asyncio.Event().wait()
 
         supervision = asyncio.create_task(asyncio.Event().wait())
-        life = lifecycle.Lifecycle(SimpleNamespace(close=close))
-        await asyncio.wait_for(life.close_soon(supervision), 10)
+        daemon_lifecycle = lifecycle.Lifecycle(SimpleNamespace(close=close))
+        await asyncio.wait_for(daemon_lifecycle.close_within_limit(supervision), 10)
         self.assertTrue(closing.is_set())
         self.assertTrue(supervision.cancelled())
