--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/__init__.py
@@ -1,1 +1,1 @@
-"""Private parts of the daemon, one module a job."""
+"""Private modules of the daemon."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/interfaces.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/interfaces.py
@@ -1,7 +1,7 @@
-"""The borders between the daemon's parts.
+"""Interfaces between the daemon's components.
 
-Each part is built against these, so that tests can put a small fake in the
-place of any neighbour.
+Components depend on these protocols only, so that tests can replace any of
+them by a small fake.
 """
 
 from collections.abc import Awaitable, Callable, Collection
@@ -13,7 +13,10 @@
 
 
 class MemberState(IntEnum):
-    """What gossip says of a daemon; at one incarnation the higher wins."""
+    """State of a daemon in gossip.
+
+    Of two states with the same incarnation, the higher one is taken.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -29,14 +32,14 @@
     ----------
     name : str
     incarnation : int
-        Raised by the daemon itself at each start and to refute suspicion.
+        Increased by the daemon itself at each start and to refute suspicion.
     host : str
     link_port, gossip_port, status_port : int
     failure_domain, region : str
     service : str
         Service of the announced target; empty while none is announced.
     slots : int
-        Concurrent calls that the target announced.
+        Number of concurrent calls that the target announced.
     state : MemberState
     """
 
@@ -54,7 +57,7 @@
 
 
 class Members(Protocol):
-    """Who is there."""
+    """The members of the fleet that this daemon knows."""
 
     local: Member
 
@@ -62,21 +65,24 @@
         """Return a member by name, or None."""
 
     def upstreams(self, service: str) -> list[Member]:
-        """Return the live, not leaving members that announce a service."""
+        """Return the live members that announce a service.
+
+        Members that are leaving are left out.
+        """
 
     def live(self) -> list[Member]:
-        """Return all live members, this daemon too."""
+        """Return all live members, including this daemon."""
 
 
 CallHandler = Callable[[Call, str], Awaitable[Answer]]
-"""Takes an incoming call and the peer's name; cancelled with the call."""
+"""Runs a call, given the call and the peer's name; cancelled with the call."""
 
 RequestHandler = Callable[[bytes, str], Awaitable[bytes]]
-"""Answers a peer's control request."""
+"""Answers a control request, given its payload and the peer's name."""
 
 
 class Links(Protocol):
-    """Links to other daemons; one per peer, made when first needed."""
+    """Links to other daemons: one per peer, opened when first needed."""
 
     async def call(self, peer: Member, call: Call) -> Answer:
         """Send a call and return its answer.
@@ -85,47 +91,73 @@
         ------
         CallError
             LINK_UNAVAILABLE when nothing was sent, LINK_LOST when the link
-            broke or went silent after sending. Cancelling the awaiting task
-            sends a cancel frame to the peer.
+            broke or the peer became unresponsive after sending.
+
+        Cancelling the awaiting task sends a cancel frame to the peer.
         """
 
     async def forward(self, peer: Member, call: Call) -> Answer:
-        """Send a call to the daemon that is home to its key; see `call`."""
+        """Forward a call to the home daemon of its idempotency key."""
 
     async def request(
         self, peer: Member, topic: str, payload: bytes, timeout: float
     ) -> bytes:
-        """Ask a control question; raises `ProtocolError`/`TimeoutError`."""
+        """Send a control request and return the answer.
+
+        Parameters
+        ----------
+        peer : Member
+        topic : str
+        payload : bytes
+        timeout : float
+            Seconds for the answer, without the time to open a link.
+
+        Raises
+        ------
+        ProtocolError
+            The peer refused the request, or there is no link to it.
+        TimeoutError
+        """
 
     def handle_calls(self, run: CallHandler, forward: CallHandler) -> None:
-        """Set what takes incoming calls and forwarded calls."""
+        """Set the handlers of incoming calls and of forwarded calls."""
 
     def handle_requests(self, topic: str, handler: RequestHandler) -> None:
-        """Set what answers one topic of control requests."""
+        """Set the handler of control requests of one topic."""
 
 
 class Confirmations(Protocol):
-    """How lately the configuration of this daemon was the store's newest."""
+    """Confirmations that a configuration version is the store's newest."""
 
     def own_confirmation(self) -> tuple[int, int] | None:
-        """Return the held version and its confirmation's age, milliseconds.
+        """Return this daemon's version and its confirmation's age.
 
-        None where nobody needs to know, or nothing recent is known.
+        The age is in milliseconds. None if no peer needs the confirmation, or
+        there is no recent one.
         """
 
     def peer_confirmed(self, version: int, age_ms: int, asked_at: float) -> None:
-        """Take over what came with the answer to a call sent at a time."""
+        """Apply a peer's confirmation that came with an answer to a call.
+
+        Parameters
+        ----------
+        version : int
+        age_ms : int
+            Age of the confirmation when the peer sent it.
+        asked_at : float
+            Time at which the call was sent, in seconds.
+        """
 
 
 class Ticket(Protocol):
-    """The right to hand one call to the target; given back exactly once."""
+    """Permit to pass one call to the target; must be finished exactly once."""
 
     def finish(self, answer: Answer | None) -> None:
-        """Give the slot back; None when the call was cancelled."""
+        """Release the slot; the answer is None for a cancelled call."""
 
 
 class Admission(Protocol):
-    """Decides which calls the target beside this daemon gets, and when."""
+    """Decides which calls the target beside this daemon runs, and when."""
 
     async def admit(self, call: Call) -> Ticket:
         """Wait for a slot.
@@ -134,50 +166,60 @@
         ------
         CallError
             OVERLOADED with `retry_after_ms`, LIFETIME_TOO_SHORT,
-            EXPIRED_UNSENT or LEAVING, as soon as it is known.
+            EXPIRED_UNSENT or LEAVING, as soon as the reason is known.
         """
 
     def load(self, path_key: str) -> LoadState:
-        """Return the state that answers of this path carry."""
+        """Return the load state that answers of this call path carry."""
 
 
 class Router(Protocol):
-    """Chooses an upstream for each attempt and learns from its end."""
+    """Chooses an upstream for each attempt, and learns from its outcome."""
 
     def choose(self, call: Call, excluded: Collection[str]) -> Member:
-        """Return where to send an attempt.
+        """Return the upstream for an attempt.
 
         Raises
         ------
         CallError
-            NO_UPSTREAM when none is there; OVERLOADED with
+            NO_UPSTREAM when no upstream is left; OVERLOADED with
             `retry_after_ms` when all that are left refuse the call's level.
         """
 
     def path_level(self, service: str, path_key: str) -> int:
-        """Return the level that a service as a whole is believed to admit."""
+        """Return the estimated admission level of a service as a whole."""
 
     def explain(self, member: Member, call: Call) -> dict:
-        """Return what is known of an upstream, for the log."""
+        """Return what is known of an upstream, for the decision log."""
 
     def started(self, member: Member, call: Call) -> None:
-        """Note that an attempt was sent."""
+        """Record that an attempt was sent."""
 
     def ended(
         self, member: Member, call: Call, answer: Answer | None, elapsed: float
     ) -> None:
-        """Note its end; None when it was cancelled or the link failed."""
+        """Record the end of an attempt.
+
+        Parameters
+        ----------
+        member : Member
+        call : Call
+        answer : Answer or None
+            None when the attempt was cancelled or the link failed.
+        elapsed : float
+            Seconds.
+        """
 
 
 class TargetClient(Protocol):
-    """Hands admitted calls to the target over loopback HTTP."""
+    """Sends admitted calls to the target over loopback HTTP."""
 
     async def run(self, call: Call, call_token: str) -> Answer:
-        """Hand a call over and return the target's answer.
+        """Send a call to the target and return its answer.
 
         Raises
         ------
         CallError
-            TARGET_UNREACHABLE or TARGET_SHED (not run); TARGET_LOST,
-            EXPIRED (unknown).
+            TARGET_UNREACHABLE or TARGET_SHED if the call was not run;
+            TARGET_LOST or EXPIRED if that is unknown.
         """
