--- a/packages/papayabay-daemon/src/papayabay_daemon/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside each target: admission, routing, retries, state."""
+"""The daemon beside each target: admission, routing, retries and state."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/__main__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon by `python -m papayabay_daemon`."""
+"""Entry point of `python -m papayabay_daemon`."""
 
 import sys
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
@@ -120,7 +120,7 @@
         except TimeoutError:
             log.warning(
                 "drain not finished in time; cutting off {} calls",
-                len(daemon.tree.live),
+                len(daemon.call_tree.live),
             )
         log.notice("drained")
 
@@ -169,7 +169,7 @@
     async def close(self):
         """Close all components."""
         daemon = self.daemon
-        await daemon.gate.close()
+        await daemon.idempotency_gate.close()
         await daemon.caller_door.close()
         for listener in daemon.listeners:
             await listener.close()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
@@ -26,10 +26,10 @@
         "admission": daemon.admission.counters.plain,
         "links": daemon.links.counters.as_dict,
         "routing": partial(dict, daemon.router.counters),
-        "retries": partial(dict, daemon.retries.stops),
-        "repeats": daemon.arrivals.totals,
-        "idempotency": partial(key_counters, daemon.gate),
-        "store": partial(dict, daemon.gate.claims.counters),
+        "retries": partial(dict, daemon.retry_rules.stops),
+        "repeats": daemon.arrival_budget.totals,
+        "idempotency": partial(key_counters, daemon.idempotency_gate),
+        "store": partial(dict, daemon.idempotency_gate.claims.counters),
         "doors": partial(door_counters, daemon),
         "quarantine": partial(quarantine_counters, daemon),
         "accounts": partial(account_counters, daemon),
@@ -72,5 +72,5 @@
 
 def restart_counters(daemon):
     """Return how often each supervised child was restarted."""
-    restarts = {**daemon.supervisor.restarts, **daemon.control.restarts}
+    restarts = {**daemon.supervisor.restarts, **daemon.control_supervisor.restarts}
     return {name.replace(" ", "_"): count for name, count in restarts.items()}
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/page.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/page.py
@@ -42,7 +42,7 @@
             "routing": daemon.router.status(),
             "links": daemon.links.status(),
             "members": daemon.membership.status(),
-            "live_calls": len(daemon.tree.live),
+            "live_calls": len(daemon.call_tree.live),
             "counters": daemon.metrics.totals(),
         }
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/adapters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/adapters.py
@@ -1,4 +1,4 @@
-"""What an adapter to a platform is built of; see `environment.Environment`."""
+"""Building blocks for platform adapters; see `environment.Environment`."""
 
 from papayabay_daemon._internal.configuration.watching import (
     VersionWatch,
--- a/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: its parts, put together and supervised."""
+"""Builds the daemon from its components and supervises them."""
 
 import random
 
@@ -48,28 +48,29 @@
 from papayabay_daemon._internal.supervisor import Child, Supervisor
 from papayabay_daemon._internal.target import HttpTargetClient, TargetRegistry
 from papayabay_daemon._internal.target.discovery import TargetDiscovery
-from papayabay_daemon.environment import own_environment
+from papayabay_daemon.environment import default_environment
 
 
 class Daemon:
-    """All parts of one daemon.
+    """One daemon with all its components.
 
     Parameters
     ----------
     settings : DaemonSettings
     environment : Environment or None
-        None for that of the settings.
+        None for `default_environment`.
     writer : LineWriter or None
-        Takes the lines on decisions, if settings want them.
-    file : SettingsFile or None
-        Where the settings came from; followed if it is given.
+        Writes the lines of the decision log, if the settings enable it.
+    settings_file : SettingsFile or None
+        The file that the settings were loaded from. If given, the daemon
+        reloads it when it changes.
     """
 
-    def __init__(self, settings, environment=None, writer=None, file=None):
-        self.file = file
+    def __init__(self, settings, environment=None, writer=None, settings_file=None):
+        self.settings_file = settings_file
         self.writer = writer if settings.logs.decisions else None
         self.settings = settings
-        self.environment = environment or own_environment(settings)
+        self.environment = environment or default_environment(settings)
         self.random = random.Random()
         self.stopping = False
         self.leaving = False
@@ -83,7 +84,7 @@
         self.lifecycle = Lifecycle(self)
 
     def build_state(self):
-        """Make what knows the platform, the peers and the configuration."""
+        """Build what tracks the platform, the peers and the configuration."""
         settings = self.settings
         environment = self.environment
         self.table = environment.table
@@ -101,7 +102,7 @@
         )
 
     def build_decisions(self):
-        """Make what decides on calls: admission, routing, retries, target."""
+        """Build what decides on calls: admission, routing, retries, target."""
         self.registry = TargetRegistry()
         self.target = HttpTargetClient(
             self.settings, self.registry, self.environment.target_dialect
@@ -109,7 +110,7 @@
         inputs = self.admission_inputs()
         self.admission = make_admission(inputs.decisions.admission, inputs)
         self.router = RoutingTable(self.membership, self.policy, self.random)
-        self.retries = RetryRules(
+        self.retry_rules = RetryRules(
             self.policy,
             RetryRatio(self.policy),
             self.random,
@@ -125,13 +126,13 @@
         self.links.on_doubt(self.router.set_link_unresponsive)
 
     def build_quarantine(self):
-        """Make what quarantines requests that crash targets."""
-        self.log = DecisionLog(self.writer, lambda: self.policy().version)
+        """Build the decision log and the quarantine of crashing requests."""
+        self.decision_log = DecisionLog(self.writer, lambda: self.policy().version)
         self.quarantine_registry = QuarantineRegistry()
         self.quarantine = QuarantineGate(
             self.settings,
             self.quarantine_registry,
-            self.log,
+            self.decision_log,
             lambda: self.policy().decisions.quarantine,
         )
         registry = self.quarantine_registry
@@ -148,28 +149,28 @@
         detector.answer_listeners.append(self.quarantine.record_answer)
 
     def build_accounts(self):
-        """Make what knows client accounts."""
+        """Build what authenticates and limits client accounts."""
         self.authenticator = Authenticator(
             self.policy, self.configuration.confirmer, self.random
         )
-        self.ring = ring = OwnerRing(self.membership)
+        self.owner_ring = ring = OwnerRing(self.membership)
         self.limit_owner = LimitOwner(self.policy, ring, self.links)
         self.owner_limiter = OwnerLimiter(
             self.membership.local, ring, self.limit_owner, self.links, self.random
         )
-        parts = EqualShareLimiter(self.membership)
+        equal_share_limiter = EqualShareLimiter(self.membership)
         self.limits = RateLimits(
             self.policy,
-            {"keepers": self.owner_limiter, "parts": parts},
+            {"keepers": self.owner_limiter, "parts": equal_share_limiter},
             self.random,
         )
-        for kept in (self.limits, self.owner_limiter, parts):
-            self.configuration.on_change(kept.policy_changed)
+        for limiter in (self.limits, self.owner_limiter, equal_share_limiter):
+            self.configuration.on_change(limiter.policy_changed)
         self.links.confirmations = self.configuration.state
         self.table.era.listeners.append(self.configuration.state.store_restored)
 
     def build_calls(self):
-        """Make the call flow."""
+        """Build the call flow."""
         self.call_components = CallComponents(
             settings=self.settings,
             local=self.membership.local,
@@ -185,16 +186,20 @@
             limits=self.limits,
             random=self.random,
             latencies=Latencies(),
-            log=self.log,
+            log=self.decision_log,
             counters=CallCounters(),
         )
-        self.tree = CallTree()
+        self.call_tree = CallTree()
         chains = ChainModel(self.router)
         self.admission.set_downstream_source(chains.closed_paths)
-        self.arrivals = ArrivalBudget(self.policy, self.membership.known_upstream_count)
-        receiver = Receiver(self.call_components, self.tree, chains, self.arrivals)
-        dispatcher = Dispatcher(self.call_components, receiver, self.retries)
-        self.gate = IdempotencyGate(
+        self.arrival_budget = ArrivalBudget(
+            self.policy, self.membership.known_upstream_count
+        )
+        receiver = Receiver(
+            self.call_components, self.call_tree, chains, self.arrival_budget
+        )
+        dispatcher = Dispatcher(self.call_components, receiver, self.retry_rules)
+        self.idempotency_gate = IdempotencyGate(
             self.settings,
             self.membership.local,
             self.table,
@@ -202,26 +207,29 @@
             self.membership,
         )
         self.objectives = ObjectiveCounters()
-        self.pause = PauseDetector()
+        self.pause_detector = PauseDetector()
         self.flow = CallFlow(
             self.call_components,
-            self.tree,
+            self.call_tree,
             dispatcher,
-            self.gate,
+            self.idempotency_gate,
             KeyAccounts(),
             self.objectives,
-            self.pause,
+            self.pause_detector,
         )
-        self.gate.set_forwarded_dispatch(self.flow.dispatch_forwarded)
-        self.gate.set_claim_precheck(self.router.check)
+        self.idempotency_gate.set_forwarded_dispatch(self.flow.dispatch_forwarded)
+        self.idempotency_gate.set_claim_precheck(self.router.check)
         self.links.handle_calls(receiver.receive, self.flow.handle_forwarded)
 
     def build_doors(self):
-        """Make what listens, and the accounts that the daemon gives."""
+        """Build the listeners, the metrics and the status routes."""
         settings = self.settings
         self.metrics = MetricsSender(settings.statsd, counter_sources(self))
         self.caller_door = CallerDoor(
-            settings, self.flow, self.gate.mint, self.environment.caller_dialect
+            settings,
+            self.flow,
+            self.idempotency_gate.mint,
+            self.environment.caller_dialect,
         )
         self.listeners = self.environment.listeners(self)
         if settings.metrics.host is not None:
@@ -233,8 +241,11 @@
         )
 
     def build_supervision(self):
-        """Make the supervisor tree."""
-        self.control = Supervisor(
+        """Build the supervisor tree.
+
+        Restarts are counted under the children's names in the metrics.
+        """
+        self.control_supervisor = Supervisor(
             "control",
             [
                 Child("membership", self.membership.run),
@@ -242,19 +253,19 @@
             ],
         )
         children = [
-            Child("control", self.control.run),
+            Child("control", self.control_supervisor.run),
             Child("target lease", self.registry.watch),
             Child("target asking", self.target_discovery.run),
             Child("metrics", self.metrics.run),
-            Child("pause watch", self.pause.run),
+            Child("pause watch", self.pause_detector.run),
             Child("quarantine", self.quarantine_propagation.run),
-            Child("keeper ring", self.ring.run),
+            Child("keeper ring", self.owner_ring.run),
         ]
         if self.writer is not None:
             children.append(Child("log", self.writer.run))
-        if self.file is not None:
-            self.file.listeners.append(self.settings_changed)
-            children.append(Child("settings file", self.file.run))
+        if self.settings_file is not None:
+            self.settings_file.listeners.append(self.settings_changed)
+            children.append(Child("settings file", self.settings_file.run))
         self.supervisor = Supervisor("daemon", children)
 
     def policy(self):
@@ -262,15 +273,15 @@
         return self.configuration.policy
 
     def gauges(self):
-        """Return what metrics show beside counters, by dotted name."""
+        """Return the gauges of the metrics by dotted name."""
         gauges = {
-            "repeats": self.arrivals.gauges(),
+            "repeats": self.arrival_budget.gauges(),
             "quarantine": self.quarantine.gauges(),
         }
         return flatten(gauges)
 
     def admission_inputs(self):
-        """Return what admission is configured by now."""
+        """Return the current inputs of the admission's configuration."""
         policy = self.policy()
         target = self.registry.current
         if target is None:
@@ -285,7 +296,7 @@
         )
 
     def target_changed(self, target):
-        """Follow an announcement, or its end."""
+        """React to an announcement of the target, or None for its end."""
         self.admission.reconfigure(self.admission_inputs())
         if target is None:
             self.membership.withdraw()
@@ -297,7 +308,10 @@
             self.membership.announce(target.service, target.slots)
 
     def target_crashed(self, crash):
-        """Record a crash of the target, and withdraw its announcement."""
+        """Record a crash of the target, and withdraw its announcement.
+
+        An announcement by another process than the crashed one stays.
+        """
         self.quarantine_propagation.set_service(crash.service)
         self.quarantine.target_crashed(crash)
         current = self.registry.current
@@ -305,25 +319,25 @@
             self.registry.withdraw("its process has ended")
 
     def policy_changed(self, policy):
-        """Follow a policy that has come in force."""
+        """Reconfigure admission by a policy that has come into force."""
         self.admission.reconfigure(self.admission_inputs())
 
     def reload(self, reason):
-        """Read the settings file again."""
-        if self.file is not None:
-            self.file.reload(reason)
+        """Reload the settings file, if there is one."""
+        if self.settings_file is not None:
+            self.settings_file.reload(reason)
 
     def settings_changed(self, settings):
-        """Follow the settings file as far as a running daemon can.
+        """Apply reloaded settings, as far as a running daemon can.
 
-        Times of a shutdown and the store's address take effect; ports, names
-        and the rest are those of the process's start.
+        The time limits of the shutdown and the store's address take effect.
+        Ports, names and all other settings need a restart.
         """
         self.settings = settings
         self.environment.apply_settings(settings)
 
     def is_ready(self):
-        """Whether callers had better send their requests here."""
+        """Return whether callers should send requests to this daemon."""
         return not self.stopping and self.policy().version > 0
 
     async def run(self):
@@ -331,9 +345,9 @@
         return await self.lifecycle.run()
 
     async def start(self):
-        """Open every port; a derived daemon can do more when it starts."""
+        """Open all ports; subclasses may extend this."""
         await self.lifecycle.start()
 
     async def close(self):
-        """Close every part."""
+        """Close all components."""
         await self.lifecycle.close()
--- a/packages/papayabay-daemon/src/papayabay_daemon/environment.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/environment.py
@@ -1,7 +1,8 @@
-"""What surrounds a daemon: its platform's services, and how others talk to it.
+"""The environment of a daemon: platform services, dialects and listeners.
 
-`Daemon` is built against these. Where a platform speaks otherwise, an adapter
-of its own makes another environment; no part of the daemon knows which.
+`Daemon` depends only on `Environment`. For a platform with other services or
+protocols, an adapter builds another environment; the components of the daemon
+do not depend on the platform.
 """
 
 from collections.abc import Callable
@@ -18,39 +19,40 @@
 
 
 class Listener(Protocol):
-    """A door that the daemon opens and closes with its own."""
+    """A network listener that the daemon opens and closes with its own."""
 
     host: str
     port: int
 
     async def start(self) -> None:
-        """Listen; raises `OSError`."""
+        """Start listening; raises `OSError`."""
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Stop listening and close all connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """The services that a daemon uses, and the ways it is spoken to.
+    """The platform services that a daemon uses, and its interfaces to others.
 
     Attributes
     ----------
     table : TableService
-        Keeps seeds, and claims of idempotency keys; `close` closes it.
+        Stores the seeds of the membership, and claims of idempotency keys.
+        Closed by `close`.
     versions : ConfigurationLog or VersionWatch
-        Where versions of the configuration come from.
+        Source of configuration versions.
     version_reader : type
-        What reads `versions`: `StoreReader` or `VersionWatcher`.
+        Class that reads `versions`: `StoreReader` or `VersionWatcher`.
     caller_dialect : CallerDialect
     target_dialect : TargetDialect
     listeners : callable
-        Takes the daemon; returns the doors by which its target, and what
-        else stands beside it, reach it. Called once.
+        Takes the daemon and returns the listeners for its target and other
+        local processes. Called once.
     close : callable
-        Returns the coroutine that closes the services.
+        Returns a coroutine that closes the services.
     apply_settings : callable
-        Takes changed settings, to use the store where it is now.
+        Takes changed settings and uses the store at its new address.
     """
 
     table: Any
@@ -63,8 +65,8 @@
     apply_settings: Callable[[Any], None]
 
 
-def own_environment(settings):
-    """Return the environment where no platform says otherwise.
+def default_environment(settings):
+    """Return the environment that is used without a platform adapter.
 
     Parameters
     ----------
@@ -83,12 +85,12 @@
         version_reader=StoreReader,
         caller_dialect=OwnCallerDialect(),
         target_dialect=OwnTargetDialect(),
-        listeners=own_listeners,
+        listeners=default_listeners,
         close=close,
         apply_settings=lambda settings: None,
     )
 
 
-def own_listeners(daemon):
+def default_listeners(daemon):
     """Return the loopback door for the target."""
     return [TargetDoor(daemon.settings, daemon.flow, daemon.registry)]
--- a/packages/papayabay-daemon/src/papayabay_daemon/main.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/main.py
@@ -1,4 +1,4 @@
-"""The program `papayabayd`: reads settings, runs the daemon until SIGTERM."""
+"""Entry point of `papayabayd`: loads the settings and runs the daemon."""
 
 import argparse
 import os
@@ -9,6 +9,7 @@
 from papayabay_daemon._internal.settings_file import SettingsFile
 
 EXIT_SETTINGS = 2
+"""Exit code for invalid settings."""
 
 
 def parse_arguments(arguments):
@@ -21,22 +22,28 @@
 
 
 def main(arguments=None):
-    """Run the daemon; return the process's exit code."""
+    """Run the daemon from the command line; return the exit code."""
     options = parse_arguments(arguments)
     try:
-        file = open_settings(options.settings, load_settings)
+        settings_file = open_settings(options.settings, load_settings)
     except SettingsError as error:
         print(error, file=sys.stderr)
         return EXIT_SETTINGS
     try:
-        return run(file)
+        return run(settings_file)
     except SettingsError as error:
         print(f"{options.settings}: {error}", file=sys.stderr)
         return EXIT_SETTINGS
 
 
 def open_settings(path, load):
-    """Return a `SettingsFile` with its first settings.
+    """Load the settings and return them in a `SettingsFile`.
+
+    Parameters
+    ----------
+    path : str
+    load : callable
+        Takes the path and returns the settings.
 
     Raises
     ------
@@ -45,20 +52,28 @@
     return SettingsFile(path, load, load(path))
 
 
-def run(file, make_environment=None):
-    """Run the daemon on an event loop that uses no io_uring.
+def run(settings_file, make_environment=None):
+    """Run the daemon until SIGTERM, on an event loop without io_uring.
+
+    libuv would use io_uring on kernels that support it. The environment
+    variable that disables it must be set before uvloop is imported.
 
     Parameters
     ----------
-    file : SettingsFile
+    settings_file : SettingsFile
     make_environment : callable or None
         Takes the settings and returns the `Environment`; called within the
-        running loop.
+        running loop. None for the default environment.
 
-    Raises `SettingsError` for a port that can't be opened.
+    Returns
+    -------
+    int
+        The process's exit code.
 
-    libuv would use io_uring on kernels that offer it; it has to be told
-    before the loop library is loaded.
+    Raises
+    ------
+    SettingsError
+        For a port that can't be opened.
     """
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
@@ -66,12 +81,12 @@
     from papayabay_daemon._internal.logs import configure_logging
     from papayabay_daemon.daemon import Daemon
 
-    settings = file.settings
+    settings = settings_file.settings
     writer = configure_logging(settings.logs)
 
     async def run_daemon():
         environment = make_environment(settings) if make_environment else None
-        return await Daemon(settings, environment, writer, file).run()
+        return await Daemon(settings, environment, writer, settings_file).run()
 
     return uvloop.run(run_daemon())
 
--- a/tests/unit/daemon/test_counter_sources.py
+++ b/tests/unit/daemon/test_counter_sources.py
@@ -26,13 +26,13 @@
         not listed as a source of metrics.
         """
         daemon = self.daemon
-        daemon.gate.key_table.counters["full"] += 2
+        daemon.idempotency_gate.key_table.counters["full"] += 2
         daemon.caller_door.counters["refused"] += 3
         daemon.target.notices.counters["dropped"] += 4
         daemon.configuration.counts["pulls"] += 5
         daemon.membership.refutations += 6
         daemon.supervisor.restarts["target lease"] += 7
-        daemon.control.restarts["membership"] += 8
+        daemon.control_supervisor.restarts["membership"] += 8
         daemon.links.counters.calls_unsent += 9
         totals = daemon.metrics.totals()
         expected = {
