--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/lifecycle.py
@@ -47,10 +47,12 @@
             raise
         freeze_startup_objects()
         supervision = asyncio.create_task(daemon.supervisor.run())
-        stopping = asyncio.create_task(self.stop_requested.wait())
+        stop_task = asyncio.create_task(self.stop_requested.wait())
         print(json.dumps(self.ready_line()), flush=True)
-        await asyncio.wait({supervision, stopping}, return_when=asyncio.FIRST_COMPLETED)
-        stopping.cancel()
+        await asyncio.wait(
+            {supervision, stop_task}, return_when=asyncio.FIRST_COMPLETED
+        )
+        stop_task.cancel()
         if supervision.done():
             await daemon.close()
             return log_failure(supervision)
@@ -221,5 +223,5 @@
 def log_failure(supervision):
     """Log why the supervisor ended; return the exit code."""
     error = supervision.exception()
-    log.critical("supervisor gave up on a failing task; exiting: {!r}", error)
+    log.critical("supervised task failed too often: {!r}; exiting", error)
     return 1
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/counters.py
@@ -52,13 +52,17 @@
     propagation = daemon.quarantine_propagation
     registry = daemon.quarantine_registry
     sources = daemon.quarantine, registry, propagation, propagation.rows
-    return {name: count for one in sources for name, count in one.counters.items()}
+    return {
+        name: count for source in sources for name, count in source.counters.items()
+    }
 
 
 def account_counters(daemon):
     """Return the counters of account keys and of rate limit tokens."""
     sources = daemon.authenticator, daemon.owner_limiter, daemon.limit_owner
-    return {name: count for one in sources for name, count in one.counters.items()}
+    return {
+        name: count for source in sources for name, count in source.counters.items()
+    }
 
 
 def door_counters(daemon):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/fleet.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/status/fleet.py
@@ -134,8 +134,12 @@
         )
         pairs = list(zip(names, results, strict=True))
         return {
-            "heard": {name: one for name, one in pairs if not isinstance(one, str)},
-            "not_heard": {name: one for name, one in pairs if isinstance(one, str)},
+            "heard": {
+                name: result for name, result in pairs if not isinstance(result, str)
+            },
+            "not_heard": {
+                name: result for name, result in pairs if isinstance(result, str)
+            },
         }
 
     async def request_report(self, name, topic, slots):
@@ -207,14 +211,13 @@
         """
         causes = []
         known = [name for name in names if self.members.get(name) is not None]
-        count = min(DELEGATES_MAX, len(known))
-        for delegate in self.fleet.random.sample(known, count):
+        for delegate in self.fleet.random.sample(known, min(DELEGATES_MAX, len(known))):
             try:
-                unheard = await self.request_partition(delegate, names)
+                missing = await self.request_partition(delegate, names)
             except (*REQUEST_ERRORS, *MALFORMED_ERRORS) as error:
                 causes.append(f"{delegate}: {describe_error(error)}")
             else:
-                self.not_heard.update(unheard)
+                self.not_heard.update(missing)
                 return
         if self.fallbacks_left:
             self.fallbacks_left -= 1
@@ -239,11 +242,11 @@
         links = self.fleet.links
         answer = await links.request(member, GATHER_TOPIC, request, timeout)
         values = unpack(answer)
-        unheard = {str(key): str(cause) for key, cause in values["not_heard"].items()}
-        if not unheard.keys() <= set(names):
+        missing = {str(key): str(cause) for key, cause in values["not_heard"].items()}
+        if not missing.keys() <= set(names):
             raise ProtocolError("it names daemons that it was not asked for")
         self.sums.merge(values["sums"])
-        return unheard
+        return missing
 
 
 def describe_error(error):
