--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/decision_log.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/decision_log.py
@@ -31,7 +31,7 @@
 
     @property
     def enabled(self):
-        """Whether lines are written; if not, callers need no inputs."""
+        """Whether lines are written; if not, no inputs need be collected."""
         return self.writer is not None
 
     def record(self, decision, call_id, **inputs):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/objectives.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/metrics/objectives.py
@@ -16,6 +16,7 @@
 MINUTES_KEPT = 360
 HOURS_KEPT = 72
 MAX_PATHS = 256
+"""Most paths that are counted, which bounds the memory."""
 
 GOOD, FAILED, REFUSED, SLOW = range(4)
 OUTCOMES = ("good", "failed", "refused", "slow")
@@ -29,6 +30,7 @@
         ErrorKind.RATE_LIMITED,
     }
 )
+"""Refusals by a limit or by policy, if the request was not run."""
 CALLER_FAULTS = frozenset(
     {
         ErrorKind.BAD_REQUEST,
@@ -40,6 +42,7 @@
         ErrorKind.UNAUTHENTICATED,
     }
 )
+"""Errors that the caller has caused; they are not counted."""
 
 
 class CountRing:
@@ -49,14 +52,14 @@
     ----------
     period : float
         Length of a period in seconds.
-    slot_count : int
+    size : int
         Number of periods that are kept.
     """
 
-    def __init__(self, period, slot_count):
+    def __init__(self, period, size):
         self.period = period
-        self.slot_count = slot_count
-        self.slots = array("L", [0]) * (slot_count * len(OUTCOMES))
+        self.size = size
+        self.slots = array("L", [0]) * (size * len(OUTCOMES))
         self.newest_period = int(now() / period)
 
     def advance(self, moment):
@@ -65,9 +68,9 @@
         A clock that steps back clears nothing.
         """
         current = int(moment / self.period)
-        passed = min(current - self.newest_period, self.slot_count)
+        passed = min(current - self.newest_period, self.size)
         for step in range(passed):
-            start = ((current - step) % self.slot_count) * len(OUTCOMES)
+            start = ((current - step) % self.size) * len(OUTCOMES)
             for outcome in range(len(OUTCOMES)):
                 self.slots[start + outcome] = 0
         self.newest_period = max(self.newest_period, current)
@@ -75,16 +78,14 @@
     def record(self, outcome, moment):
         """Count one request in the current period."""
         self.advance(moment)
-        self.slots[
-            (self.newest_period % self.slot_count) * len(OUTCOMES) + outcome
-        ] += 1
+        self.slots[(self.newest_period % self.size) * len(OUTCOMES) + outcome] += 1
 
     def total(self, seconds, moment):
         """Return counts by outcome name over the last `seconds`."""
         self.advance(moment)
-        periods = min(self.slot_count, max(1, round(seconds / self.period)))
+        periods = min(self.size, max(1, round(seconds / self.period)))
         starts = [
-            ((self.newest_period - step) % self.slot_count) * len(OUTCOMES)
+            ((self.newest_period - step) % self.size) * len(OUTCOMES)
             for step in range(periods)
         ]
         return {
@@ -159,14 +160,14 @@
         moment = now()
         return {
             path_key: {
-                name: total_of(rings, seconds, moment)
+                name: window_counts(rings, seconds, moment)
                 for name, seconds in windows.items()
             }
             for path_key, rings in self.paths.items()
         }
 
 
-def total_of(rings, seconds, moment):
+def window_counts(rings, seconds, moment):
     """Return a window's counts from the finest ring that covers it."""
     if seconds <= MINUTE_SECONDS * MINUTES_KEPT:
         return rings.minutes.total(seconds, moment)
