--- a/tests/unit/daemon/test_status_fleet.py
+++ b/tests/unit/daemon/test_status_fleet.py
@@ -51,7 +51,19 @@
 
 
 class Fleet:
-    """Daemons that reach each other through function calls."""
+    """Daemons that reach each other through function calls.
+
+    Attributes
+    ----------
+    dead : dict of str to sequence of str
+        Topics that a daemon does not answer, by its name.
+    pages : dict of str to dict
+        Status pages that differ from `make_page`, by the daemon's name.
+    sent : Counter
+        Requests that each daemon has sent.
+    largest : int
+        Bytes of the largest request or answer.
+    """
 
     def __init__(self, count):
         self.all = {}
@@ -90,10 +102,7 @@
 
 
 class FakeLinks:
-    """Delivers one daemon's requests, and counts them.
-
-    A daemon in `Fleet.dead` does not answer the topics given there.
-    """
+    """Delivers one daemon's requests, and counts them."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -124,17 +133,17 @@
 class RealLinksTests(unittest.IsolatedAsyncioTestCase):
     async def test_partitions_are_gathered_over_links(self):
         """Nine daemons, four of them stopped, partitions of two or three."""
-        every = [make_links(f"vm-{number}") for number in range(9)]
-        known = {links.local.name: links.local for links in every}
+        all_links = [make_links(f"vm-{number}") for number in range(9)]
+        known = {links.local.name: links.local for links in all_links}
         fleets = []
-        for links in every:
+        for links in all_links:
             await links.start()
             self.addAsyncCleanup(links.close)
             members = SimpleNamespace(
                 local=links.local, live=lambda: list(known.values()), get=known.get
             )
             fleets.append(FleetReports(members, links, {"burn": make_burn_report}))
-        for links in every[5:]:
+        for links in all_links[5:]:
             await links.close()
         package = "papayabay_daemon._internal.status"
         with (
