--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/routing/hints.py
@@ -68,7 +68,8 @@
             return
         levels = {
             path: self.averaged(
-                self.path_levels.get(path, ADMIT_ALL), load.path_levels.get(path, ADMIT_ALL)
+                self.path_levels.get(path, ADMIT_ALL),
+                load.path_levels.get(path, ADMIT_ALL),
             )
             for path in self.path_levels.keys() | load.path_levels.keys()
         }
