--- a/packages/papayabay-core/src/papayabay_core/__init__.py
+++ b/packages/papayabay-core/src/papayabay_core/__init__.py
@@ -1,1 +1,1 @@
-"""What papayabay's programs share: settings, policy, errors, messages."""
+"""Code shared by papayabay's programs: settings, policy, errors, messages."""
--- a/packages/papayabay-core/src/papayabay_core/account_keys.py
+++ b/packages/papayabay-core/src/papayabay_core/account_keys.py
@@ -1,4 +1,7 @@
-"""Digests of client accounts' keys; the keys themselves are never stored."""
+"""Digests of the API keys of client accounts.
+
+Only digests are stored and sent; the keys themselves never are.
+"""
 
 import hashlib
 
@@ -7,7 +10,7 @@
 
 
 def digest_key(key):
-    """Return the digest by which a key is declared and looked up.
+    """Return the digest under which a key is declared and looked up.
 
     Parameters
     ----------
@@ -16,7 +19,7 @@
     Returns
     -------
     str
-        The first half of its SHA-256, in hexadecimal digits.
+        The first half of the key's SHA-256, in hexadecimal digits.
     """
     content = key.encode("utf-8", "surrogateescape")
     return hashlib.sha256(content).hexdigest()[: 2 * DIGEST_BYTES]
--- a/packages/papayabay-core/src/papayabay_core/calls.py
+++ b/packages/papayabay-core/src/papayabay_core/calls.py
@@ -1,4 +1,4 @@
-"""The data of one call, as a daemon keeps it and as links carry it."""
+"""Calls, their answers and the load reports that daemons exchange."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass, field
@@ -10,14 +10,15 @@
 
 @dataclass(slots=True)
 class Body:
-    """A message body: what is at hand and, for large ones, the rest.
+    """A message body, complete in memory or streamed.
 
     Attributes
     ----------
     first : bytes
-        The whole body when `rest` is None, else its first part.
+        The complete body when `rest` is None, else its first part.
     rest : AsyncIterator of bytes or None
-        Further parts. A body whose rest was begun can't be sent again.
+        The parts that follow `first`. Once iteration has started, the body
+        can't be sent again.
     """
 
     first: bytes = b""
@@ -25,7 +26,7 @@
 
     @property
     def is_complete(self):
-        """Whether all of the body is at hand."""
+        """Whether all of the body is in memory."""
         return self.rest is None
 
 
@@ -36,45 +37,47 @@
     Attributes
     ----------
     request_id : str
-        Identifier of the whole request, minted at its entry.
+        Identifier of the request that the call belongs to, assigned by the
+        daemon at which the request enters.
     service : str
         The service called.
     method, path : str
-        HTTP method and target (path with query), unchanged.
+        HTTP method and request target (path with query), unchanged.
     headers : list of (str, str)
-        End-to-end headers, in order, names as they came.
+        End-to-end headers in their original order and spelling.
     body : Body
     importance : Importance
-        Fixed at the entry; how the call stands wherever some are refused.
+        Class used for admission and shedding, set by the entry daemon.
     rank : int
-        Stable per-request rank in [0, RANKS); the lower is kept longer.
+        Rank of the request in [0, RANKS), the same for all of its calls.
+        Lower ranks are shed later.
     depth : int
-        0 at the entry, one more at each hop.
+        0 for the entry call, one more at each hop.
     expires_at : float
-        End of life on `clock.now()` of this machine.
+        Deadline, on `clock.now()` of this machine.
     credits : int
         Retry credits that this call and its subtree may spend.
     idempotent : bool
-        Whether policy lets the call be run again after a doubtful end.
+        Whether policy allows another attempt when it is unknown if an
+        earlier one took effect.
     idempotency_key : str
-        The key that the caller brought; empty without one.
+        Idempotency key sent by the caller; empty without one.
     path_key : str
-        Name of the policy rule's call path; what load and service time are
-        learned by, so that both stay bounded.
+        Service and name of the policy rule that matched. Load and service
+        times are tracked per rule, not per URL, which bounds their number.
     repeated : bool
-        Whether it is another attempt, or made by a run that was one.
+        Whether this is a retry, or a call made while a retry was running.
     declared_class : Importance or None
-        The class that policy gives it, where it stands with a better one;
-        see `effective_priority`.
+        The class that policy declares, where `importance` is a better one;
+        see `effective_priority`. None where both are the same.
     attempts : int
-        Upstreams that may run it, 0 without a bound. Kept by the daemon that
-        dispatches the call; it does not travel.
+        How many upstreams may run the call; 0 means no limit. Known to the
+        dispatching daemon only, not sent over links.
     account : str
-        Name of the client account that the whole request belongs to; empty
-        without one.
+        Name of the client account of the request; empty without one.
     key_digest : str
         Digest of the key that authenticated the request; empty without one.
-        Kept by the entry daemon; it does not travel.
+        Known to the entry daemon only, not sent over links.
     """
 
     request_id: str
@@ -99,50 +102,51 @@
 
     @property
     def policy_class(self):
-        """The class by policy, however the call stands in lines.
+        """The importance class that policy declares for the call.
 
-        Those that are kept from a lesser class are let in with the critical
-        ones, but what is scarce beyond a slot goes to critical ones first.
+        A share of the less important requests is admitted as if critical, so
+        that overload does not shed their class completely. Other scarce
+        resources, such as the retry budget, go by the declared class.
         """
         return self.importance if self.declared_class is None else self.declared_class
 
     @property
     def level(self):
-        """The admission level; see `importance.level_of`."""
+        """The admission level of the call; see `importance.level_of`."""
         return level_of(self.importance, self.rank)
 
     def remaining(self):
-        """Return the seconds of life left; negative once expired."""
+        """Return the seconds until the deadline; negative once expired."""
         return self.expires_at - now()
 
 
 SERVER_ERROR = 500
-"""Lowest HTTP status that tells of a failure."""
+"""Lowest HTTP status that reports a failure of the server."""
 MAX_PATH_LEVELS = 16
-"""Call paths that a `LoadState` names at most, the most refused first."""
+"""Most call paths in `LoadState.path_levels`; the lowest levels are kept."""
 
 
 @dataclass(slots=True)
 class LoadState:
-    """What a callee's daemon says of its target with each answer.
+    """Load of one target, reported by its daemon with each answer.
 
     Attributes
     ----------
     in_flight : int
-        Calls handed to the target and not answered.
+        Calls forwarded to the target and not answered yet.
     queued : int
         Calls waiting for admission.
     limit : int
-        Calls that the daemon hands over at once now.
+        Current concurrency limit of the target.
     queue_ms : float
         Recent queueing delay of admitted calls, milliseconds.
     service_ms : float
-        Recent time from handing over to answer, milliseconds.
+        Recent time from forwarding a call to its answer, milliseconds.
     admit_level : int
-        Highest level that this daemon itself admits now, on any path.
+        Highest level that this daemon currently admits, on all paths.
     path_levels : dict of str to int
-        Highest level admitted by the services below, for each call path of
-        this service on which they refuse some; see `MAX_PATH_LEVELS`.
+        For call paths on which downstream services refuse some calls, the
+        highest level that they admit, by path key; see `MAX_PATH_LEVELS`.
     """
 
     in_flight: int = 0
@@ -156,7 +160,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """The end of a call: a target's answer or an error kind.
+    """The result of a call: a target's answer or an error kind.
 
     Attributes
     ----------
@@ -165,20 +169,20 @@
     headers : list of (str, str)
     body : Body
     kind : ErrorKind or None
-        None for an answer that a target gave.
+        None for an answer of a target.
     effect : Effect
-        RUN for a target's answer.
+        RUN for an answer of a target.
     retry_after_ms : int
-        When to come back, for refusals; 0 where nothing is said.
+        For refusals, the delay before a retry; 0 where none is known.
     credits_left : int
-        Unused retry credits that come back to the caller's account.
+        Unused retry credits, returned to the calling daemon.
     load : LoadState or None
-        State of the upstream that answered.
+        Load of the upstream that answered.
     exhausted : bool
-        Whether a daemon below has tried elsewhere, or had nowhere else; no
-        daemon above repeats the call then.
+        Whether a downstream daemon has already tried another upstream, or
+        had none to try. Upstream daemons then don't retry the call.
     detail : str
-        One line for people on an error kind.
+        Human-readable explanation of the error kind, one line.
     """
 
     status: int
@@ -194,5 +198,5 @@
 
     @property
     def failed(self):
-        """Whether its status tells of a failure, of whoever gave it."""
+        """Whether the status is a server error, from a target or a daemon."""
         return self.status >= SERVER_ERROR
--- a/packages/papayabay-core/src/papayabay_core/errors.py
+++ b/packages/papayabay-core/src/papayabay_core/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the answer that belongs to each.
+"""Error kinds and the answer that callers get for each.
 
-Every refusal or failure that papayabay itself reports to a caller is one
-of these kinds. The table below is the only place that decides its HTTP
-status, its retry advice and what is said about the request's effect.
+Every refusal or failure that papayabay itself reports to a caller has one of
+these kinds. `ERROR_ANSWERS` is the only place that defines the HTTP status,
+the retry advice and the reported effect of a kind.
 """
 
 import json
@@ -11,10 +11,10 @@
 
 
 class Effect(Enum):
-    """What is known about whether the request took effect.
+    """Whether the request took effect, as far as is known.
 
-    ``NOT_RUN`` is a promise: the request was never handed to a target, or
-    the target itself refused it before running it.
+    ``NOT_RUN`` is a guarantee: the request was never forwarded to a target,
+    or the target refused it before running it.
     """
 
     NOT_RUN = "not-run"
@@ -23,7 +23,7 @@
 
 
 class Retry(Enum):
-    """Advice to the caller about repeating the request."""
+    """Retry advice to the caller."""
 
     NEVER = "never"
     LATER = "later"
@@ -31,9 +31,9 @@
 
 
 class ErrorKind(IntEnum):
-    """Each way in which papayabay answers instead of a target.
+    """Reasons for which papayabay answers a call in place of the target.
 
-    The numbers travel between daemons; a number is never reused.
+    The numbers are part of the link protocol; a number is never reused.
     """
 
     BAD_REQUEST = 1
@@ -80,13 +80,13 @@
     status : int
         HTTP status.
     effect : Effect
-        What is said about the request's effect.
+        Whether the request took effect.
     retry : Retry
         Advice to the caller.
     retry_elsewhere : bool
         Whether a daemon may try another upstream for the same call.
     title : str
-        One line for people.
+        Human-readable summary, one line.
     """
 
     status: int
@@ -203,16 +203,15 @@
 
 
 class CallError(Exception):
-    """A call that ends with one of the error kinds.
+    """Ends a call with one of the error kinds.
 
     Parameters
     ----------
     kind : ErrorKind
-        Which of the closed list.
     detail : str
-        One line for people; never needed to understand the kind.
+        Human-readable explanation, one line. Programs need only the kind.
     retry_after_ms : int
-        When to come back, already jittered; 0 where no time is known.
+        Delay before a retry, jitter included; 0 where none is known.
     """
 
     def __init__(self, kind, detail="", retry_after_ms=0):
@@ -223,16 +222,16 @@
 
     @property
     def answer(self):
-        """Return the table's row for this kind."""
+        """The entry of `ERROR_ANSWERS` for this kind."""
         return ERROR_ANSWERS[self.kind]
 
 
 PROBLEM_TYPE = ("Content-Type", "application/problem+json")
-"""Header field of an answer that holds a `problem_body`."""
+"""Header field of answers whose body is made by `problem_body`."""
 
 
 def problem_body(kind, detail="", request_id="", retry_after_ms=0):
-    """Return the JSON problem details (RFC 9457) of a kind, as bytes."""
+    """Return JSON problem details (RFC 9457) for an error kind, as bytes."""
     answer = ERROR_ANSWERS[kind]
     problem = {
         "type": f"urn:papayabay:error:{kind.name.lower().replace('_', '-')}",
--- a/packages/papayabay-core/src/papayabay_core/exceptions.py
+++ b/packages/papayabay-core/src/papayabay_core/exceptions.py
@@ -1,12 +1,12 @@
-"""Exceptions whose messages are shown to operators as they stand."""
+"""Exceptions whose messages are shown to operators unchanged."""
 
 
 class PapayabayError(Exception):
-    """Base of every error that a person reads; one clear line each."""
+    """Base class of errors whose messages are shown to operators."""
 
 
 class SettingsError(PapayabayError):
-    """A settings file is missing, unreadable or holds a wrong value."""
+    """A settings file is missing, unreadable or has an invalid value."""
 
 
 class PolicyError(PapayabayError):
@@ -14,9 +14,9 @@
 
 
 class PlatformError(PapayabayError):
-    """The platform's table service or object store failed a request.
+    """A request to the platform's table service or object store failed.
 
-    The request was certainly not applied, or it was a read.
+    It was a read, or a write that was certainly not applied.
     """
 
 
@@ -25,7 +25,7 @@
 
 
 class ConditionFailed(PlatformError):
-    """A conditional write met another version of its row."""
+    """A conditional write was refused: its row has another revision."""
 
 
 class StaleVersion(PapayabayError):
@@ -33,4 +33,4 @@
 
 
 class ProtocolError(PapayabayError):
-    """A peer sent something that the link protocol does not allow."""
+    """A peer violated the link protocol."""
--- a/packages/papayabay-core/src/papayabay_core/importance.py
+++ b/packages/papayabay-core/src/papayabay_core/importance.py
@@ -1,4 +1,4 @@
-"""Importance classes, ranks, and the admission level made of both."""
+"""Importance classes, ranks, and the admission level that combines them."""
 
 from enum import IntEnum
 
@@ -7,7 +7,7 @@
 
 
 class Importance(IntEnum):
-    """How long a request survives overload; the lower, the longer.
+    """Importance class of a request; overload sheds higher values first.
 
     ``CRITICAL`` is for order confirmations and licence grants, ``NORMAL``
     for lookups and clearance checks, ``SHEDDABLE`` for browsing and
@@ -24,7 +24,7 @@
 
 
 def level_of(importance, rank):
-    """Return the admission level of a request; the lower, the better.
+    """Return the admission level of a request; lower levels are shed later.
 
     A level orders first by importance class, then by the request's rank,
     which is the same at every hop of its call tree. A threshold is a level
--- a/tests/unit/core/test_errors.py
+++ b/tests/unit/core/test_errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and its table."""
+"""Tests of the error kinds and their answers."""
 
 import json
 import unittest
@@ -47,31 +47,28 @@
     "RATE_LIMITED": 52,
     "LIMIT_UNKNOWN": 53,
 }
-"""Daemons of two releases talk to each other in these. Only add to them."""
+"""Numbers sent between daemons of different releases. Only add to them."""
 
 
 class NumberTests(unittest.TestCase):
     def test_numbers_are_stable(self):
-        """A kind keeps its number over releases.
+        """Guards against a release that renumbers an error kind.
 
-        Symptom: during an upgrade, callers are told `not-run` of calls that
-        ran.
-        Sequence: a kind is renumbered; a daemon of the older release reads
-        the number as another kind.
-        Cause: the numbers are part of the protocol between daemons.
+        During an upgrade, a daemon of the older release would read the number
+        as another kind and report `not-run` for calls that ran.
         """
-        # `__members__` also has aliases: two kinds of one number are seen.
+        # `__members__` lists aliases too, so duplicate numbers are found.
         found = {name: int(kind) for name, kind in ErrorKind.__members__.items()}
         self.assertEqual(found, NUMBERS)
         self.assertEqual(len(set(found.values())), len(found))
 
 
 class TableTests(unittest.TestCase):
-    def test_every_kind_has_a_row(self):
+    def test_every_kind_has_an_answer(self):
         self.assertEqual(set(ERROR_ANSWERS), set(ErrorKind))
 
-    def test_advice_fits_the_effect(self):
-        """Only what certainly wasn't run may be sent again without a key."""
+    def test_retry_advice_matches_the_effect(self):
+        """Only calls that were not run may be retried without a key."""
         for kind, answer in ERROR_ANSWERS.items():
             with self.subTest(kind.name):
                 if answer.effect is Effect.NOT_RUN:
@@ -83,8 +80,8 @@
         effects = {answer.effect for answer in ERROR_ANSWERS.values()}
         self.assertEqual(effects, {Effect.NOT_RUN, Effect.UNKNOWN})
 
-    def test_kinds_after_handing_over_promise_nothing(self):
-        """These end calls that a target, or a daemon on the way to it, had."""
+    def test_effect_is_unknown_once_a_call_was_forwarded(self):
+        """A target or an intermediate daemon may have received the call."""
         for name in (
             "EXPIRED",
             "TARGET_LOST",
@@ -97,20 +94,20 @@
             with self.subTest(name):
                 self.assertIs(ERROR_ANSWERS[ErrorKind[name]].effect, Effect.UNKNOWN)
 
-    def test_what_advises_never_is_tried_nowhere_else(self):
+    def test_kinds_never_to_be_retried_are_not_retried_elsewhere(self):
         for kind, answer in ERROR_ANSWERS.items():
             if answer.retry is Retry.NEVER:
                 with self.subTest(kind.name):
                     self.assertFalse(answer.retry_elsewhere)
 
-    def test_statuses_are_errors_and_titles_differ(self):
+    def test_statuses_are_errors_and_titles_are_unique(self):
         answers = ERROR_ANSWERS.values()
         self.assertTrue(all(400 <= answer.status <= 599 for answer in answers))
         self.assertEqual(len({answer.title for answer in answers}), len(answers))
 
 
 class ProblemTests(unittest.TestCase):
-    def test_body_says_what_the_row_says(self):
+    def test_body_has_the_values_of_the_answer(self):
         for kind, answer in ERROR_ANSWERS.items():
             with self.subTest(kind.name):
                 problem = json.loads(problem_body(kind))
@@ -126,12 +123,12 @@
                     },
                 )
 
-    def test_what_is_known_is_added(self):
+    def test_detail_request_and_retry_after_are_added(self):
         problem = json.loads(problem_body(ErrorKind.OVERLOADED, "full", "r-1", 250))
         known = (problem["detail"], problem["request"], problem["retry_after_ms"])
         self.assertEqual(known, ("full", "r-1", 250))
 
-    def test_exception_carries_its_row(self):
+    def test_exception_gives_the_answer_of_its_kind(self):
         error = CallError(ErrorKind.LEAVING, "draining")
         self.assertIs(error.answer, ERROR_ANSWERS[ErrorKind.LEAVING])
         self.assertEqual(str(error), "LEAVING: draining")
