--- a/packages/papayabay-core/src/papayabay_core/configuration/state.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/state.py
@@ -1,4 +1,4 @@
-"""One version of the configuration, and the step to the next."""
+"""One version of the configuration, and applying the next patch."""
 
 import json
 from dataclasses import dataclass, field
@@ -20,11 +20,11 @@
     version : int
         0 before any patch.
     values : dict
-        The policy document's plain values; not to be changed.
+        Plain values of the policy document; must not be modified.
     confirmed : bool
-        Whether the table said that this was its newest version.
+        Whether the table service reported this as its newest version.
     snapshot_version : int
-        Version of the snapshot that it was loaded from; 0 without one.
+        Version of the snapshot that it was loaded from; 0 if none was used.
     """
 
     version: int = 0
@@ -32,34 +32,37 @@
     confirmed: bool = False
     snapshot_version: int = 0
 
-    def policy(self, former=None, known=None):
+    def policy(self, previous=None, previous_policy=None):
         """Return the compiled policy.
 
         Parameters
         ----------
-        former : Configuration or None
-            An earlier version, of which this one was made by patches; what
-            they did not touch is then not compiled again.
-        known : Policy or None
-            The policy of `former`.
+        previous : Configuration or None
+            An earlier version from which patches made this one. Services that
+            they did not change are not compiled again.
+        previous_policy : Policy or None
+            The policy of `previous`.
 
         Raises
         ------
         PolicyError
-            When this release can't read it.
+            When the values are not a policy valid for this release.
         """
         source = f"version {self.version}"
-        if known is None:
+        if previous_policy is None:
             return Policy(validate_policy(self.values, source), self.version)
-        document = validate_change(self.values, source, former.values, known.document)
-        return Policy(document, self.version, known)
+        document = validate_change(
+            self.values, source, previous.values, previous_policy.document
+        )
+        return Policy(document, self.version, previous_policy)
 
     def check(self):
-        """Raise `PolicyError` unless every daemon can hold this version."""
+        """Raise `PolicyError` if the document is too large or invalid."""
         size = len(json.dumps(self.values))
         if size > MAX_DOCUMENT_BYTES:
             raise PolicyError(
-                f"version {self.version}: {size} bytes, more than {MAX_DOCUMENT_BYTES}"
+                f"version {self.version}: the policy document has {size} bytes, "
+                f"at most {MAX_DOCUMENT_BYTES} are allowed"
             )
         self.policy()
 
@@ -69,12 +72,12 @@
         Raises
         ------
         StaleVersion
-            When the patch makes any version but the next.
+            When the patch is not for the next version.
         """
         if patch.version != self.version + 1 or patch.base != self.version:
             raise StaleVersion(
-                f"patch {patch.patch_id} makes version {patch.version}, which does "
-                f"not follow version {self.version}"
+                f"patch {patch.patch_id} makes version {patch.version} from version "
+                f"{patch.base}; the current version is {self.version}"
             )
         return Configuration(
             version=patch.version,
--- a/packages/papayabay-core/src/papayabay_core/policy/__init__.py
+++ b/packages/papayabay-core/src/papayabay_core/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The overload policy: what operators declare per service and call path."""
+"""The overload policy that operators declare per service and call path."""
 
 from papayabay_core.policy.document import PolicyDocument, parse_policy
 from papayabay_core.policy.rule import CallRule
--- a/packages/papayabay-core/src/papayabay_core/policy/accounts.py
+++ b/packages/papayabay-core/src/papayabay_core/policy/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts in the form that requests are looked up by."""
+"""Client accounts, compiled for looking up requests."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """Requests that an account may make, over all daemons together.
+    """Rate limit of an account, shared by all daemons.
 
     Attributes
     ----------
     rate_per_s : float
-        Requests per second in the long run.
+        Sustained requests per second.
     burst : int
-        Requests beyond that at once.
+        Requests allowed at once on top of the sustained rate.
     """
 
     rate_per_s: float
@@ -31,9 +31,9 @@
     ----------
     name : str
     importance : Importance or None
-        Class of its requests; None for that of their route.
+        Class of its requests; None to use the class of the call rule.
     limit : RateLimit or None
-        None without a limit.
+        None for no limit.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 
 class AccountTable:
-    """All accounts, by name and by the digests of their keys.
+    """All accounts, by name and by key digest.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
     Raises
     ------
     PolicyError
-        Two accounts share a key.
+        When two accounts share a key.
     """
 
     def __init__(self, declarations):
@@ -69,12 +69,12 @@
         return bool(self.by_name)
 
     def find(self, digest):
-        """Return the account that a key's digest belongs to, or None."""
+        """Return the account of a key digest, or None."""
         return self.by_digest.get(digest)
 
 
 def compile_account(name, declaration: AccountDeclaration):
-    """Return a declared account ready for look-up."""
+    """Return the `Account` of a declaration."""
     importance = declaration.importance and Importance[declaration.importance.upper()]
     limit = None
     if declaration.rate_per_s:
--- a/packages/papayabay-core/src/papayabay_core/policy/document.py
+++ b/packages/papayabay-core/src/papayabay_core/policy/document.py
@@ -1,4 +1,4 @@
-"""The policy document as operators write it, validated at the border."""
+"""Schema and validation of the policy document that operators write."""
 
 import tomllib
 from typing import Annotated, Literal
@@ -15,13 +15,14 @@
 AccountName = Annotated[str, Meta(pattern=r"^[\x21-\x7e]{1,200}\Z")]
 KeyDigest = Annotated[str, Meta(pattern=DIGEST_PATTERN)]
 CallName = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_-]{0,62}\Z")]
-# Methods are compared case-sensitively. A call path declared for "post" would
-# never match, and its calls would silently get the default rule.
+# Methods are compared case-sensitively. Without this pattern, a call path
+# declared for "post" would never match, and its calls would silently get the
+# default rule.
 Method = Annotated[str, Meta(pattern=r"^[A-Z0-9!#$%&'*+.^_`|~-]{1,32}\Z")]
 
 
 class Decisions(Strict, frozen=True, kw_only=True):
-    """Which way each decision is taken; the bench compares them."""
+    """Algorithm used for each decision; the bench compares them."""
 
     admission: Literal["ranked", "dagor", "codel", "gradient", "static", "open"] = (
         "ranked"
@@ -42,7 +43,7 @@
 
 
 class Admission(Strict, frozen=True, kw_only=True):
-    """Limits at the callee's daemon of one service."""
+    """Admission settings of one service, used by its targets' daemons."""
 
     queue_target_ms: Milliseconds = 20
     queue_max_ms: Milliseconds = 150
@@ -52,7 +53,7 @@
 
 
 class Retries(Strict, frozen=True, kw_only=True):
-    """Retry spending of one service."""
+    """Retry credits and retry budget of one service."""
 
     credits: Annotated[int, Meta(ge=0, le=64)] = 3
     ratio: Share = 0.1
@@ -61,7 +62,7 @@
 
 
 class Routing(Strict, frozen=True, kw_only=True):
-    """How callers' daemons choose among a service's upstreams."""
+    """How calling daemons choose among the upstreams of a service."""
 
     subset: Annotated[int, Meta(ge=1, le=256)] = 12
     prefer_own_domain: bool = True
@@ -77,7 +78,7 @@
 
 
 class CallDeclaration(Strict, frozen=True, kw_only=True):
-    """One call path of a service."""
+    """Declaration of one call path of a service."""
 
     methods: Annotated[list[Method], Meta(min_length=1)]
     path: Annotated[str, Meta(pattern=r"^/")]
@@ -91,7 +92,7 @@
 
 
 class ServiceDeclaration(Strict, frozen=True, kw_only=True):
-    """One service."""
+    """Declaration of one service."""
 
     deadline_ms: Milliseconds = 2_000
     health_path: Annotated[str, Meta(pattern=r"^/[\x21-\x7e]{0,200}\Z")] | None = None
@@ -102,22 +103,22 @@
 
 
 class WeightedService(Strict, frozen=True, kw_only=True):
-    """One of the services that a route's requests are divided among."""
+    """A service that gets a share of a route's requests, by weight."""
 
     service: ServiceName
     weight: Annotated[int, Meta(ge=0, le=1_000_000)]
 
 
 def check_weights(services):
-    """Refuse parts of a route that could send its requests nowhere."""
-    if not any(part.weight for part in services):
+    """Raise `ValueError` unless a service of the route has a weight."""
+    if not any(weighted.weight for weighted in services):
         raise ValueError("no service of the route has a weight above 0")
 
 
 class RouteDeclaration(Strict, frozen=True, kw_only=True):
-    """Requests that callers send to one host below one path prefix.
+    """Declaration of a route: requests to one host below one path prefix.
 
-    The longest prefix of the host that begins the path is taken.
+    A request takes the route of its host with the longest matching prefix.
     """
 
     checks = {"services": check_weights}
@@ -136,7 +137,7 @@
 
 
 class AccountDeclaration(Strict, frozen=True, kw_only=True):
-    """One client account."""
+    """Declaration of one client account."""
 
     key_digests: list[KeyDigest] = []
     importance: Literal["critical", "normal", "sheddable"] | None = None
@@ -145,13 +146,13 @@
 
 
 class Authentication(Strict, frozen=True, kw_only=True):
-    """How the keys of client accounts are checked."""
+    """Settings of the authentication of client accounts."""
 
     max_staleness_ms: Milliseconds | None = None
 
 
 class PolicyDocument(Strict, frozen=True, kw_only=True):
-    """The whole policy; the root of what patches change."""
+    """The complete policy; configuration patches apply to this document."""
 
     format: Literal[1] = 1
     decisions: Decisions = Decisions()
@@ -162,19 +163,19 @@
 
 
 def validate_policy(values, source):
-    """Return the document made of plain values.
+    """Return the `PolicyDocument` of plain values.
 
     Parameters
     ----------
     values : dict
         As read from TOML or JSON.
     source : str
-        File name or version, for the message.
+        File name or version, for the error message.
 
     Raises
     ------
     PolicyError
-        With one line per fault, each naming source and key.
+        With one line per fault, each with source and key.
     """
     try:
         return PolicyDocument.model_validate(values)
@@ -182,26 +183,28 @@
         raise PolicyError(explain_faults(error, source)) from None
 
 
-def validate_change(values, source, known_values, known):
-    """Return the document made of plain values that differ in little.
+def validate_change(values, source, previous_values, previous):
+    """Return the `PolicyDocument` of values that a merge patch produced.
 
-    Only services whose values are other objects than before are validated: a
-    merge patch shares what it does not touch. Validating hundreds of services
+    A merge patch keeps the objects that it does not change, so services with
+    identical objects are not validated again. Validating hundreds of services
     at each patch would block the daemon.
 
     Parameters
     ----------
     values : dict
     source : str
-    known_values : dict
-        Plain values that `known` was made of.
-    known : PolicyDocument
+        File name or version, for the error message.
+    previous_values : dict
+        Plain values of `previous`.
+    previous : PolicyDocument
+        The document before the patch.
 
     Raises
     ------
     PolicyError
     """
-    services, before = values.get("services"), known_values.get("services")
+    services, before = values.get("services"), previous_values.get("services")
     if not isinstance(services, dict) or not isinstance(before, dict):
         return validate_policy(values, source)
     changed = {
@@ -211,19 +214,19 @@
     }
     document = validate_policy(values | {"services": changed}, source)
     merged = {
-        name: (document if name in changed else known).services[name]
+        name: (document if name in changed else previous).services[name]
         for name in services
     }
     return document.model_copy(update={"services": merged})
 
 
 def parse_policy(text, source="policy"):
-    """Return the document written in TOML.
+    """Return the `PolicyDocument` written in TOML.
 
     Raises
     ------
     PolicyError
-        When it is not TOML, or not a valid policy.
+        When the text is not TOML or not a valid policy.
     """
     try:
         values = tomllib.loads(text)
--- a/packages/papayabay-core/src/papayabay_core/policy/routes.py
+++ b/packages/papayabay-core/src/papayabay_core/policy/routes.py
@@ -1,4 +1,4 @@
-"""Routes: from a request's host and path to a service and its rule."""
+"""Routes map the host and path of a request to a service and its rule."""
 
 import itertools
 from bisect import bisect_right
@@ -9,22 +9,22 @@
 from papayabay_core.policy.rule import CallRule
 
 GOOD_SHARE = 0.99
-"""Share of a route's requests that are wanted within its latency objective;
-the burn report needs one, and routes declare none of their own."""
+"""Objective for the share of a route's requests answered within its latency.
+The burn report needs such a share, and routes don't declare one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A route in the form that requests are looked up by.
+    """A route, compiled for looking up requests.
 
     Attributes
     ----------
     prefix : str
-        Begins and ends with a slash.
+        Path prefix; begins and ends with a slash.
     rules : tuple of CallRule
-        One for each service that gets a share.
+        One for each service with a weight above 0.
     bounds : tuple of int
-        Running sums of the weights; the last one is their total.
+        Cumulative weights of the services; the last one is the total.
     """
 
     prefix: str
@@ -32,11 +32,10 @@
     bounds: tuple[int, ...]
 
     def pick(self, random):
-        """Return the rule of one of the services, drawn by weight.
+        """Return the rule of a service chosen at random by weight.
 
-        A request keeps to the service that was drawn, whatever happens to
-        it: were one that a full service refuses moved to another, that one
-        would get more than its share.
+        The choice is final, also when the service refuses the request: moving
+        refused requests would give another service more than its share.
         """
         if len(self.rules) == 1:
             return self.rules[0]
@@ -45,7 +44,7 @@
 
 
 class RouteTable:
-    """All routes by host, the longest prefix first.
+    """All routes, by host, longest prefix first.
 
     Parameters
     ----------
@@ -66,9 +65,9 @@
         Parameters
         ----------
         host : str
-            As the request names it.
+            Host of the request; case is ignored.
         path : str
-            With or without query.
+            Path of the request, with or without query.
         """
         plain = path.partition("?")[0]
         routes = self.hosts.get(host.lower(), ())
@@ -76,17 +75,17 @@
 
 
 def compile_route(declaration: RouteDeclaration):
-    """Return a declared route ready for look-up."""
-    parts = [part for part in declaration.services if part.weight]
+    """Return the `Route` of a declaration."""
+    weighted = [one for one in declaration.services if one.weight]
     return Route(
         prefix=declaration.prefix,
-        rules=tuple(rule_of(declaration, part.service) for part in parts),
-        bounds=tuple(itertools.accumulate(part.weight for part in parts)),
+        rules=tuple(rule_of(declaration, one.service) for one in weighted),
+        bounds=tuple(itertools.accumulate(one.weight for one in weighted)),
     )
 
 
 def rule_of(declaration, service):
-    """Return the rule of a route's requests at one service."""
+    """Return the rule for requests of a route to one of its services."""
     objective = None
     if declaration.latency_ms is not None:
         objective = Objective(good_share=GOOD_SHARE, latency_ms=declaration.latency_ms)
--- a/packages/papayabay-core/src/papayabay_core/policy/rule.py
+++ b/packages/papayabay-core/src/papayabay_core/policy/rule.py
@@ -1,4 +1,4 @@
-"""What policy says of one kind of call."""
+"""The policy rule of one call path."""
 
 from dataclasses import dataclass
 
@@ -8,30 +8,30 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRule:
-    """What policy says of one call path.
+    """The policy rule of one call path.
 
     Attributes
     ----------
     service, name : str
-        Service, and name of the call within it.
+        Service, and name of the call path within it.
     importance : Importance
-        Class given to requests that enter by this path.
+        Class of requests that enter by this path.
     idempotent : bool
         False for calls that must take effect at most once.
     at_most_once : str
-        "claim", "token" or "either", which need a key of the caller; or
-        "attempt": each request is one attempt, handed to a target at most
-        once and then never again. Only read when not idempotent.
+        "claim", "token" or "either", which require an idempotency key of the
+        caller; or "attempt": each request is a single attempt, forwarded to
+        a target at most once. Used only if not idempotent.
     deadline_ms : int
-        Longest life of a request that enters by this path.
+        Longest lifetime of a request that enters by this path.
     retry_credits : int
-        Retries that such a request may spend over its whole call tree.
+        Retries that such a request may use in its whole call tree.
     objective : Objective or None
     attempts : int
-        Upstreams that may run one such request; 0 leaves that to the
-        request's retry credits alone.
+        How many upstreams may run one request; 0 means that only the retry
+        credits limit it.
     public : bool
-        Whether requests need no account's key.
+        Whether requests need no account key.
     """
 
     service: str
@@ -47,5 +47,5 @@
 
     @property
     def path_key(self):
-        """Name by which load and times of this path are kept."""
+        """Key under which load and service times of this path are tracked."""
         return f"{self.service}/{self.name}"
--- a/packages/papayabay-core/src/papayabay_core/policy/rules.py
+++ b/packages/papayabay-core/src/papayabay_core/policy/rules.py
@@ -1,4 +1,4 @@
-"""The policy in the form that daemons look calls up in."""
+"""The policy, compiled for looking up the rules of calls."""
 
 import re
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompiledCall:
-    """A call path ready for matching; more literal text goes first."""
+    """A call path with its compiled path template."""
 
     methods: frozenset[str]
     pattern: re.Pattern
@@ -32,25 +32,25 @@
 
 
 class Policy:
-    """A numbered policy version, compiled for look-up.
+    """One version of the policy, compiled for look-up.
 
     Parameters
     ----------
     document : PolicyDocument
     version : int
         Configuration version; 0 before any patch.
-    known : Policy or None
-        An earlier one; what is compiled there of the same declarations is
-        taken over.
+    previous : Policy or None
+        An earlier version; the compiled calls of services whose declaration
+        has not changed are reused.
     """
 
-    def __init__(self, document=None, version=0, known=None):
+    def __init__(self, document=None, version=0, previous=None):
         self.document = document or PolicyDocument()
         self.version = version
-        before = known.document.services if known else {}
+        before = previous.document.services if previous else {}
         self.calls = {
             name: (
-                known.calls[name]
+                previous.calls[name]
                 if declaration is before.get(name)
                 else compile_calls(name, declaration)
             )
@@ -61,16 +61,16 @@
 
     @property
     def decisions(self) -> Decisions:
-        """How each decision is taken."""
+        """The algorithms used for decisions."""
         return self.document.decisions
 
     @property
     def authentication(self) -> Authentication:
-        """How keys of client accounts are checked."""
+        """Settings of the authentication of client accounts."""
         return self.document.authentication
 
     def has_service(self, service):
-        """Return whether the policy names the service."""
+        """Return whether the policy declares the service."""
         return service in self.calls
 
     def admission(self, service) -> Admission:
@@ -86,7 +86,7 @@
         return self.declaration(service).routing
 
     def declaration(self, service) -> ServiceDeclaration:
-        """Return what is declared of a service; defaults for a strange one."""
+        """Return the declaration of a service; defaults for an unknown one."""
         return self.document.services.get(service) or ServiceDeclaration()
 
     def rule_for(self, service, method, path):
@@ -96,12 +96,13 @@
         ----------
         service, method : str
         path : str
-            With or without query.
+            Path of the call, with or without query.
 
         Returns
         -------
         CallRule
-            The most literal match, else the service's default rule.
+            Of the matching call path with the most literal characters, else
+            the default rule of the service.
         """
         plain = path.partition("?")[0]
         matches = (
@@ -113,7 +114,7 @@
         return found or self.default_rule(service, method)
 
     def default_rule(self, service, method):
-        """Return the rule of calls that no declaration matches."""
+        """Return the rule of calls that match no declared call path."""
         declaration = self.declaration(service)
         return CallRule(
             service=service,
@@ -127,7 +128,7 @@
 
 
 def compile_calls(service, declaration):
-    """Return a service's call paths, the most literal first."""
+    """Return the call paths of a service, most literal characters first."""
     compiled = (
         compile_call(service, name, call, declaration)
         for name, call in declaration.calls.items()
@@ -136,7 +137,7 @@
 
 
 def compile_call(service, name, call, declaration):
-    """Return one call path ready for matching."""
+    """Return the `CompiledCall` of one declaration."""
     idempotent = call.idempotent
     if idempotent is None:
         idempotent = IDEMPOTENT_METHODS.issuperset(call.methods)
@@ -162,7 +163,7 @@
 def compile_template(template):
     """Return the pattern of a path template and its literal length.
 
-    ``{name}`` stands for one path segment, a trailing ``*`` for any rest.
+    ``{name}`` matches one path segment, a trailing ``*`` any remaining text.
     """
     pieces = re.split(r"(\{[^/{}]*\}|\*$)", template)
     literal = [piece for piece in pieces if not is_placeholder(piece)]
@@ -174,7 +175,7 @@
 
 
 def is_placeholder(piece):
-    """Return whether a piece of a template stands for varying text."""
+    """Return whether a piece of a path template is a placeholder."""
     return piece == "*" or piece.startswith("{")
 
 
--- a/tests/unit/core/test_policy_change.py
+++ b/tests/unit/core/test_policy_change.py
@@ -1,4 +1,4 @@
-"""Compiling only what a patch touched."""
+"""Tests of compiling only the services that a patch changes."""
 
 import json
 import random
@@ -32,41 +32,42 @@
 
 
 class PolicyChangeTests(unittest.TestCase):
-    def test_same_as_compiled_whole(self):
-        """Patches compile to what the whole version compiles to."""
+    def test_same_as_compiled_from_scratch(self):
+        """Compiling patch by patch gives the same as compiling a version."""
         rng = random.Random(11)
-        held = Configuration()
-        policy = held.policy()
+        current = Configuration()
+        policy = current.policy()
         for version in range(STEPS):
-            former = held
-            held = former.apply(new_patch(version, random_change(rng), "test"))
-            policy = held.policy(former, policy)
-            copied = json.loads(json.dumps(held.values))
-            whole = Configuration(held.version, copied).policy()
-            self.assertEqual(policy.document, whole.document)
-            self.assertEqual(policy.calls, whole.calls)
-            self.assertEqual(list(policy.calls), list(held.values.get("services", ())))
+            previous = current
+            current = previous.apply(new_patch(version, random_change(rng), "test"))
+            policy = current.policy(previous, policy)
+            copied = json.loads(json.dumps(current.values))
+            expected = Configuration(current.version, copied).policy()
+            self.assertEqual(policy.document, expected.document)
+            self.assertEqual(policy.calls, expected.calls)
+            names = list(current.values.get("services", ()))
+            self.assertEqual(list(policy.calls), names)
 
-    def test_untouched_services_are_kept(self):
-        """A patch to one service compiles that one alone.
+    def test_unchanged_services_are_reused(self):
+        """Guards against a patch to one service that compiles all of them.
 
-        Symptom: with 490 services a daemon stood still for 70 to 130 ms at
-        each patch. Sequence: a patch of 500 bytes comes in force. Cause:
-        all services were validated and compiled again.
+        With 490 services, that blocked the daemon for 70 to 130 ms at each
+        patch, however small.
         """
         names = ("one", "two")
         rng = random.Random(1)
-        former = Configuration(1, {"services": {n: declaration(rng) for n in names}})
-        known = former.policy()
+        previous = Configuration(1, {"services": {n: declaration(rng) for n in names}})
+        before = previous.policy()
         change = {"services": {"two": {"deadline_ms": 7}}}
-        policy = former.apply(new_patch(1, change, "test")).policy(former, known)
-        self.assertIs(policy.calls["one"], known.calls["one"])
-        self.assertIs(policy.declaration("one"), known.declaration("one"))
+        patched = previous.apply(new_patch(1, change, "test"))
+        policy = patched.policy(previous, before)
+        self.assertIs(policy.calls["one"], before.calls["one"])
+        self.assertIs(policy.declaration("one"), before.declaration("one"))
         self.assertEqual(policy.rule_for("two", "GET", "/x").deadline_ms, 7)
 
-    def test_faults_are_found(self):
-        former = Configuration(1, {"services": {"one": {}}})
-        known = former.policy()
+    def test_invalid_changes_are_refused(self):
+        previous = Configuration(1, {"services": {"one": {}}})
+        before = previous.policy()
         for change in (
             {"services": {"one": {"deadline": 1}}},
             {"services": {"Two": {}}},
@@ -74,7 +75,7 @@
             {"services": []},
             {"format": 2},
         ):
-            made = former.apply(new_patch(1, change, "test"))
+            patched = previous.apply(new_patch(1, change, "test"))
             with self.subTest(change), self.assertRaises(PolicyError) as caught:
-                made.policy(former, known)
+                patched.policy(previous, before)
             self.assertIn("version 2", str(caught.exception))
--- a/tests/unit/core/test_policy_document.py
+++ b/tests/unit/core/test_policy_document.py
@@ -1,4 +1,4 @@
-"""What a policy file may say, and which rule a call gets from it."""
+"""Tests of policy validation and of the rules that calls get."""
 
 import unittest
 
@@ -37,14 +37,12 @@
 
 
 class MethodTests(DocumentCase):
-    def test_lower_case_is_refused(self):
-        """A method that could match no call is refused.
-
-        Symptom: under overload, order confirmations were refused along with
-        look-ups, though declared critical.
-        Sequence: a policy said `methods = ["post"]` and passed `check`; the
-        call matched no path and got the default rule, class normal.
-        Cause: methods are compared letter by letter, and were not checked.
+    def test_invalid_methods_are_refused(self):
+        """Guards against a declared method that no call can match.
+
+        Methods are compared case-sensitively. With `methods = ["post"]`, order
+        confirmations declared critical got the default rule, class normal, and
+        were shed along with look-ups.
         """
         for method in ("post", "Post", "", "PO ST", "POST\n", "PÖST"):
             with self.subTest(method):
@@ -56,13 +54,13 @@
                     ),
                 )
 
-    def test_every_registered_form_is_taken(self):
+    def test_all_registered_forms_of_methods_match(self):
         methods = ["GET", "POST", "VERSION-CONTROL", "M-SEARCH"]
         values = service(place=call(methods=methods))
         for method in methods:
             self.assertEqual(rule_name(values, method, "/orders"), "place")
 
-    def test_no_method_is_refused(self):
+    def test_empty_list_of_methods_is_refused(self):
         self.assert_refused(
             service(place=call(methods=[])),
             ("services.orders-svc.calls.place.methods", "at least 1 item"),
@@ -90,25 +88,25 @@
                     expected = "one" if path in matching else "default"
                     self.assertEqual(rule_name(values, "GET", path), expected)
 
-    def test_most_literal_goes_first_wherever_it_stands(self):
+    def test_most_literal_template_wins_in_any_order(self):
         paths = {
             "any": "/orders/*",
             "one": "/orders/{a-long-name-says-nothing}",
             "confirm": "/orders/{order}/confirm",
             "newest": "/orders/newest",
         }
-        asked = {
+        requested = {
             "/orders/newest": "newest",
             "/orders/7/confirm": "confirm",
             "/orders/7/lines": "any",
         }
         for names in (list(paths), list(reversed(paths))):
             values = service(**{name: call(paths[name]) for name in names})
-            for path, expected in asked.items():
+            for path, expected in requested.items():
                 with self.subTest(names=names, path=path):
                     self.assertEqual(rule_name(values, "GET", path), expected)
 
-    def test_the_method_decides_between_equal_paths(self):
+    def test_method_selects_between_equal_paths(self):
         values = service(
             look_up=call("/orders/{order}", ["GET", "HEAD"]),
             change=call("/orders/{order}", ["PUT"]),
@@ -117,7 +115,7 @@
         self.assertEqual(rule_name(values, "HEAD", "/orders/7"), "look_up")
         self.assertEqual(rule_name(values, "DELETE", "/orders/7"), "default")
 
-    def test_a_path_begins_with_a_slash(self):
+    def test_path_without_leading_slash_is_refused(self):
         self.assert_refused(
             service(place=call("orders")),
             ("services.orders-svc.calls.place.path", "should match pattern"),
@@ -125,7 +123,7 @@
 
 
 class RuleTests(DocumentCase):
-    def test_what_a_call_leaves_out_comes_from_its_service(self):
+    def test_call_inherits_defaults_of_its_service(self):
         values = service(
             plain=call("/plain"),
             own=call("/own", deadline_ms=900, retry_credits=0, importance="critical"),
@@ -160,7 +158,7 @@
 
 
 class RefusalTests(DocumentCase):
-    def test_unknown_keys_at_every_depth(self):
+    def test_unknown_keys_are_refused_at_every_depth(self):
         values = service(place=call(deadline=5, objective={"good_share": 0.9, "p": 1}))
         values["services"]["orders-svc"]["admission"] = {"queue_target": 20}
         values["decision"] = {}
@@ -173,7 +171,7 @@
             ("decision", "not permitted"),
         )
 
-    def test_units_and_bounds(self):
+    def test_values_out_of_bounds_are_refused(self):
         for field, wrong in {
             "deadline_ms": (0, -1, 3_600_001, 1.5, "2s"),
             "retry_credits": (-1, 65),
@@ -189,7 +187,7 @@
                     key = f"policy.toml: services.orders-svc.calls.place.{field}"
                     self.assertIn(key, str(caught.exception))
 
-    def test_names(self):
+    def test_invalid_service_names_are_refused(self):
         for name in ("Orders", "", "-orders", "orders svc", "o" * 64):
             with self.subTest(name), self.assertRaises(PolicyError):
                 validate_policy({"services": {name: {}}}, "policy.toml")
--- a/tests/unit/core/test_policy_routes.py
+++ b/tests/unit/core/test_policy_routes.py
@@ -1,3 +1,5 @@
+"""Tests of routes: prefixes, rules and weights."""
+
 import random
 import unittest
 from collections import Counter
@@ -9,8 +11,8 @@
 
 
 def route(name, prefix, host="h.example", services=(("a", 1),), **changes):
-    parts = [{"service": service, "weight": weight} for service, weight in services]
-    plain = {"name": name, "host": host, "prefix": prefix, "services": parts}
+    weighted = [{"service": service, "weight": weight} for service, weight in services]
+    plain = {"name": name, "host": host, "prefix": prefix, "services": weighted}
     return plain | {"timeout_ms": 1_000} | changes
 
 
@@ -19,7 +21,7 @@
 
 
 class LookUpTest(unittest.TestCase):
-    def test_the_longest_prefix_of_the_host_is_taken(self):
+    def test_longest_prefix_of_the_host_wins(self):
         routes = table(
             route("short", "/x/"),
             route("long", "/x/y/"),
@@ -36,7 +38,7 @@
             with self.subTest(host=host, path=path):
                 self.assertIsNone(routes.find(host, path))
 
-    def test_rule(self):
+    def test_declaration_becomes_a_rule(self):
         routes = table(
             route("r", "/x/", idempotent=False, importance="critical", attempts=3)
         )
@@ -54,7 +56,7 @@
         self.assertEqual(counts.keys(), {"a", "b"})
         self.assertAlmostEqual(counts["a"] / 10_000, 0.9, delta=0.02)
 
-    def test_what_is_no_route_is_refused(self):
+    def test_invalid_routes_are_refused(self):
         for wrong in (
             route("r", "x/"),
             route("r", "/x"),
