--- a/packages/papayabay-core/src/papayabay_core/configuration/log.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/log.py
@@ -1,4 +1,4 @@
-"""The log of patches in the platform's table."""
+"""The log of configuration patches in the table service."""
 
 import asyncio
 from dataclasses import replace
@@ -31,22 +31,25 @@
 HEAD_KEY = "config/head"
 PAGE_ROWS = 100
 MAX_PATCHES = 1_000
+"""Most patches that `patches_after` returns by default."""
 MAX_CHANGES = 100
+"""Most patches that the result of a stale commit lists."""
 SETTLE_PAUSES = (0.05, 0.1, 0.2, 0.4)
+"""Seconds between the attempts to determine the outcome of a commit."""
 
 log = logbook.Logger("papayabay.configuration")
 
 
 class ConfigurationLog:
-    """Versions of the configuration: reading them and adding one.
+    """Reads versions of the configuration and commits new ones.
 
     Parameters
     ----------
     table : TableService
     objects : ObjectStore
     pauses : sequence of float
-        Seconds between the tries of an unclear commit; one try more than
-        there are pauses.
+        Seconds between the attempts to determine the outcome of a commit;
+        there is one attempt more than pauses.
     """
 
     def __init__(self, table, objects, pauses=SETTLE_PAUSES):
@@ -60,13 +63,13 @@
         Raises
         ------
         PlatformError
-            `UpgradeNeeded` and `CorruptRecord` are kinds of it.
+            Also as `UpgradeNeeded` and `CorruptRecord`.
         """
         version, _ = await self.read_head()
         return version
 
     async def read_head(self):
-        """Return version and row revision of the head; zeros without it."""
+        """Return version and row revision of the head; zeros without one."""
         row = await self.table.get(HEAD_KEY)
         if row is None:
             return 0, 0
@@ -80,7 +83,7 @@
         ----------
         version : int
         limit : int
-            Most that are returned; ask again from the last one.
+            Most patches to return; call again with the last version for more.
 
         Raises
         ------
@@ -102,28 +105,31 @@
         for expected, (row, patch) in enumerate(
             zip(rows, patches, strict=True), version + 1
         ):
-            # A row that is missing or misplaced would otherwise be skipped
-            # in silence, and this reader would differ from all others.
+            # Without this check, a missing or misplaced row would be skipped
+            # silently, and this configuration would differ from all others.
             if patch.version != expected or row.key != patch_key(expected):
-                raise CorruptRecord(f"{row.key}: version {expected} was expected")
+                raise CorruptRecord(
+                    f"{row.key}: version {expected} was expected, got {patch.version}"
+                )
         return patches
 
     async def load(self, upto=None):
-        """Return the newest configuration, or that of a version.
+        """Return the newest configuration, or a given version of it.
 
-        Reads the newest whole snapshot, then the patches after it. While the
-        table does not answer, the snapshot alone is returned, unconfirmed.
+        Reads the newest valid snapshot, then the patches after it. If the
+        table service fails, the snapshot is returned, not confirmed.
 
         Parameters
         ----------
         upto : int or None
-            A version to go no further than; the result is older when the
-            table has not got that far, and is never marked as confirmed.
+            Last version to apply. The result is older if the table has fewer
+            versions, and is never marked as confirmed.
 
         Raises
         ------
         PlatformError
-            Neither table nor snapshot answered, or a record can't be read.
+            When neither table nor snapshot can be read, or a record is
+            invalid.
         """
         snapshot = await self.snapshots.newest(upto)
         start = snapshot or Configuration()
@@ -147,9 +153,9 @@
         return replace(configuration, confirmed=upto is None)
 
     async def commit(self, patch):
-        """Add a patch, if its base is still the newest version.
+        """Store a patch if its base is still the newest version.
 
-        Committing the same patch again is safe: it is stored once.
+        Committing the same patch again is safe: it is stored only once.
 
         Returns
         -------
@@ -158,23 +164,23 @@
         Raises
         ------
         PolicyError
-            The patch, or the document that it makes, is not valid; nothing
+            When the patch or the resulting document is not valid; nothing
             was written.
         PlatformError
-            The platform failed, and this commit wrote nothing.
+            When the platform failed and nothing was written.
         """
         check_patch(patch)
-        doubtful = False
+        maybe_written = False
         for pause in (*self.pauses, None):
             try:
                 result = await self.attempt(patch)
             except PlatformAmbiguous:
-                doubtful = True
-                result = await self.look(patch.patch_id, patch.base)
+                maybe_written = True
+                result = await self.read_outcome(patch.patch_id, patch.base)
             except PlatformError:
-                # A refusal now says nothing about an earlier write of this
-                # commit, which may have been applied without an answer.
-                if not doubtful:
+                # This attempt wrote nothing, but an earlier one of this commit
+                # may have been applied although its answer was lost.
+                if not maybe_written:
                     raise
                 result = None
             if result is not None:
@@ -184,42 +190,42 @@
         return CommitResult(CommitOutcome.UNKNOWN, patch.patch_id)
 
     async def attempt(self, patch):
-        """Try a commit once; None when reads don't show who won."""
+        """Try a commit once; return None while its outcome is unknown."""
         current, revision = await self.read_head()
         if current != patch.base:
             return await self.explain_mismatch(patch, current)
         base = await self.load(upto=patch.base)
         if base.version != patch.base:
             raise PlatformError(
-                f"the table's rows end at version {base.version}, its head says "
-                f"{current}: nothing was written"
+                f"the table's patches end at version {base.version}, but its head is "
+                f"version {current}: nothing was written"
             )
-        made = base.apply(patch)
-        made.check()
+        configuration = base.apply(patch)
+        configuration.check()
         try:
             await self.table.write(commit_puts(patch, revision))
         except ConditionFailed:
-            return await self.look(patch.patch_id, patch.base)
-        await self.save_snapshot(made)
-        return accepted(patch.patch_id, patch.version)
+            return await self.read_outcome(patch.patch_id, patch.base)
+        await self.save_snapshot(configuration)
+        return accepted_result(patch.patch_id, patch.version)
 
     async def explain_mismatch(self, patch, current):
         """Return the result of a patch whose base is not the head."""
         if current < patch.base:
-            # Either the base never existed, or this read is out of date. To
-            # call the patch stale would be a guess in the second case.
+            # Either the base never existed, or this read was stale. In the
+            # second case the patch may be valid, so it is not called stale.
             raise PlatformError(
-                f"the patch is written against version {patch.base}, and the table "
-                f"says that {current} is the newest: nothing was written"
+                f"the patch is based on version {patch.base}, but the newest version "
+                f"in the table is {current}: nothing was written"
             )
-        return await self.look(patch.patch_id, patch.base)
+        return await self.read_outcome(patch.patch_id, patch.base)
 
     async def settle(self, patch_id, base):
-        """Say what became of a patch whose commit ended as unknown.
+        """Determine the outcome of a commit that ended as unknown.
 
-        Reads only. A version row is inserted once and never removed, so a
-        row that is there decides; one that is not there decides nothing,
-        since a delayed write may still arrive.
+        Reads only. The row of a version is inserted once and never removed,
+        so an existing row determines the outcome. A missing row leaves it
+        unknown, since a delayed write may still be applied.
 
         Parameters
         ----------
@@ -232,15 +238,18 @@
         CommitResult
         """
         for pause in (*self.pauses, None):
-            result = await self.look(patch_id, base)
+            result = await self.read_outcome(patch_id, base)
             if result is not None:
                 return result
             if pause is not None:
                 await asyncio.sleep(pause)
         return CommitResult(CommitOutcome.UNKNOWN, patch_id)
 
-    async def look(self, patch_id, base):
-        """Return the result that a version's row tells, or None."""
+    async def read_outcome(self, patch_id, base):
+        """Return the result of a commit from the row of its version.
+
+        None if the row is missing or can't be read.
+        """
         key = patch_key(base + 1)
         try:
             row = await self.table.get(key)
@@ -249,43 +258,47 @@
         if row is None:
             return None
         if row.value.get("patch_id") == patch_id:
-            return accepted(patch_id, base + 1)
-        return await self.stale(patch_id, base)
+            return accepted_result(patch_id, base + 1)
+        return await self.stale_result(patch_id, base)
 
-    async def stale(self, patch_id, base):
-        """Return the refusal of a patch whose version is taken."""
+    async def stale_result(self, patch_id, base):
+        """Return the result of a patch whose version another patch has."""
         changes, current = [], base + 1
         try:
             changes = await self.patches_after(base, MAX_CHANGES)
             current = max(current, base + len(changes), await self.head())
         except PlatformError as error:
-            log.info("what changed since version {} is unread: {}", base, error)
+            log.info("patches after version {} could not be read: {}", base, error)
         return CommitResult(CommitOutcome.STALE, patch_id, current, changes)
 
     async def save_snapshot(self, configuration):
-        """Store a snapshot when the last one is old; failing is harmless."""
+        """Store a snapshot if the last one is old; only log a failure."""
         if configuration.version - configuration.snapshot_version < SNAPSHOT_EVERY:
             return
         try:
             await self.snapshots.save(configuration)
         except PlatformError as error:
-            log.warning("no snapshot of version {}: {}", configuration.version, error)
+            log.warning(
+                "snapshot of version {} could not be stored: {}",
+                configuration.version,
+                error,
+            )
 
 
 def page_size(version, upto):
-    """Return how many patches to ask for next; 0 when there."""
+    """Return how many patches to read next; 0 once `upto` is reached."""
     if upto is None:
         return PAGE_ROWS
     return max(0, min(PAGE_ROWS, upto - version))
 
 
-def accepted(patch_id, version):
+def accepted_result(patch_id, version):
     """Return the result of a patch that is stored."""
     return CommitResult(CommitOutcome.ACCEPTED, patch_id, version)
 
 
 def commit_puts(patch, head_revision):
-    """Return the one transaction that stores a patch and moves the head."""
+    """Return the writes of the transaction that stores a patch."""
     head = {"format": FORMAT, "version": patch.version, "patch_id": patch.patch_id}
     return [
         Put(patch_key(patch.version), patch.values(), expected=0),
--- a/packages/papayabay-core/src/papayabay_core/configuration/merge.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/merge.py
@@ -4,9 +4,10 @@
 
 
 def merge_patch(target, patch):
-    """Return the values that a merge patch makes of a target.
+    """Return the result of applying a merge patch to a target.
 
-    Neither argument is changed; a null member of the patch removes.
+    Neither argument is changed. A null member of the patch removes the
+    member of the target.
     """
     if not isinstance(patch, dict):
         return patch
@@ -20,7 +21,7 @@
 
 
 def diff_documents(old, new):
-    """Return the merge patch that makes one document of another.
+    """Return the merge patch that turns one document into another.
 
     A null member in the new document counts as absent, since a merge patch
     can't set one.
@@ -30,20 +31,20 @@
     changed = {
         key: diff_values(old.get(key), value)
         for key, value in kept.items()
-        if not same(old.get(key), value)
+        if not equal_as_json(old.get(key), value)
     }
     return removed | changed
 
 
 def diff_values(old, new):
-    """Return the patch of one member."""
+    """Return the merge patch for one member."""
     if isinstance(old, dict) and isinstance(new, dict):
         return diff_documents(old, new)
     return new
 
 
-def same(one, other):
-    """Compare as JSON does; in Python, True equals 1."""
+def equal_as_json(one, other):
+    """Return whether values are equal as JSON; in Python, True equals 1."""
     return json.dumps(one, sort_keys=True) == json.dumps(other, sort_keys=True)
 
 
--- a/packages/papayabay-core/src/papayabay_core/configuration/patch.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/patch.py
@@ -1,4 +1,4 @@
-"""One patch of the configuration."""
+"""Patches of the configuration."""
 
 import json
 import time
@@ -26,17 +26,17 @@
     Attributes
     ----------
     version : int
-        The version that it makes; one more than `base`.
+        The version that the patch creates; one more than `base`.
     patch_id : str
-        Tells this patch from any other of the same version; a patch that
-        is submitted again keeps it.
+        Unique identifier. A patch that is submitted again keeps it, which
+        distinguishes it from a competing patch for the same version.
     base : int
-        The version that it was written against.
+        The version that the patch was written against.
     patch : dict
-        JSON merge patch over the policy's values.
+        JSON merge patch for the policy document.
     author, message : str
     committed_at_ms : int
-        Author's wall clock, milliseconds since 1970; only for people.
+        Wall clock of the author, milliseconds since 1970; for display only.
     """
 
     version: int
@@ -48,17 +48,17 @@
     committed_at_ms: int = 0
 
     def values(self):
-        """Return the row's plain values."""
+        """Return the plain values of the patch's row."""
         return {"format": FORMAT, **asdict(self)}
 
 
 def new_patch(base, changes, author="", message=""):
-    """Return a fresh patch against a version.
+    """Return a new patch against a version.
 
     Raises
     ------
     PolicyError
-        When it is too large, too deep or not JSON.
+        When the changes are too large, nested too deep or not JSON.
     """
     patch = Patch(
         version=base + 1,
@@ -74,16 +74,18 @@
 
 
 def check_patch(patch):
-    """Raise `PolicyError` unless the patch can be stored as it is."""
+    """Raise `PolicyError` if the patch can't be stored."""
     source = f"patch {patch.patch_id}"
     if depth_of(patch.patch) > MAX_DEPTH:
-        raise PolicyError(f"{source}: nested deeper than {MAX_DEPTH}")
+        raise PolicyError(f"{source}: nested deeper than {MAX_DEPTH} levels")
     try:
         size = len(json.dumps(patch.patch, allow_nan=False))
     except (TypeError, ValueError) as error:
         raise PolicyError(f"{source}: not JSON: {error}") from None
     if size > MAX_PATCH_BYTES:
-        raise PolicyError(f"{source}: {size} bytes, more than {MAX_PATCH_BYTES}")
+        raise PolicyError(
+            f"{source}: {size} bytes, at most {MAX_PATCH_BYTES} are allowed"
+        )
     try:
         patch_of_values(patch.values(), source)
     except CorruptRecord as error:
@@ -91,7 +93,7 @@
 
 
 def depth_of(value, limit=MAX_DEPTH + 1):
-    """Return how deep values are nested, or `limit` if they are deeper."""
+    """Return the nesting depth of a value, at most `limit`."""
     if limit == 0 or not isinstance(value, dict | list):
         return 0
     members = value.values() if isinstance(value, dict) else value
@@ -99,7 +101,7 @@
 
 
 def patch_of_values(values, source):
-    """Return the patch of a row's plain values.
+    """Return the `Patch` of the plain values of a row.
 
     Raises
     ------
@@ -108,13 +110,14 @@
     record = read_record(PatchRecord, values, source)
     if record.version != record.base + 1:
         raise CorruptRecord(
-            f"{source}: version {record.version} does not follow {record.base}"
+            f"{source}: version {record.version} is not the next after base "
+            f"{record.base}"
         )
     if depth_of(record.patch) > MAX_DEPTH:
-        raise CorruptRecord(f"{source}: nested deeper than {MAX_DEPTH}")
+        raise CorruptRecord(f"{source}: nested deeper than {MAX_DEPTH} levels")
     return Patch(**record.model_dump(exclude={"format"}))
 
 
 def patch_key(version):
-    """Return the row key of a version; keys sort as versions do."""
+    """Return the row key of a version; keys sort in version order."""
     return f"{PATCH_PREFIX}{version:0{VERSION_DIGITS}d}"
--- a/packages/papayabay-core/src/papayabay_core/configuration/records.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/records.py
@@ -1,4 +1,4 @@
-"""Records of the configuration as stored, checked when they are read."""
+"""Stored records of the configuration and their validation."""
 
 import json
 from typing import Annotated, Literal
@@ -16,33 +16,33 @@
 
 
 class UpgradeNeeded(PlatformError):
-    """A record was written by a newer release in a form unknown here."""
+    """A record was written by a newer release in an unknown format."""
 
 
 class CorruptRecord(PlatformError):
-    """A record is not what was written, or not whole."""
+    """A record is malformed, truncated or fails its checksum."""
 
 
 def check_version(version):
-    """Refuse a version that is too long to stand in a row's key."""
+    """Raise `ValueError` if a version has too many digits for a row key."""
     if version > MAX_VERSION:
-        raise ValueError(f"a version has {len(str(MAX_VERSION))} digits at most")
+        raise ValueError(f"a version has at most {len(str(MAX_VERSION))} digits")
 
 
 def check_versions(versions):
-    """Refuse versions as `check_version` does."""
+    """Raise `ValueError` if a version has too many digits for a row key."""
     for version in versions:
         check_version(version)
 
 
 class Record(Strict, frozen=True, kw_only=True):
-    """A stored record; an unknown member is an error."""
+    """A stored record; unknown members are an error."""
 
     format: Literal[1] = FORMAT
 
 
 class HeadRecord(Record, frozen=True, kw_only=True):
-    """Row ``config/head``: the version in force."""
+    """Row ``config/head``: the newest version."""
 
     checks = {"version": check_version}
 
@@ -51,7 +51,7 @@
 
 
 class PatchRecord(Record, frozen=True, kw_only=True):
-    """Row ``config/patch/<version>``: what made that version."""
+    """Row ``config/patch/<version>``: the patch that made the version."""
 
     checks = {"version": check_version, "base": check_version}
 
@@ -65,7 +65,7 @@
 
 
 class SnapshotRecord(Record, frozen=True, kw_only=True):
-    """Object ``config/snapshot/<version>``: all values of a version."""
+    """Object ``config/snapshot/<version>``: a complete version."""
 
     checks = {"version": check_version}
 
@@ -75,7 +75,7 @@
 
 
 class PointerRecord(Record, frozen=True, kw_only=True):
-    """Object ``config/snapshot/latest``: snapshots, the newest first."""
+    """Object ``config/snapshot/latest``: stored snapshots, newest first."""
 
     checks = {"versions": check_versions}
 
@@ -83,19 +83,20 @@
 
 
 def read_record(model, values, source):
-    """Return the record made of plain values.
+    """Return the record of plain values.
 
     Raises
     ------
     UpgradeNeeded
-        Its format is newer than this release knows.
+        When the format is newer than this release supports.
     CorruptRecord
+        When the values don't match the model.
     """
     found = values.get("format") if isinstance(values, dict) else None
     if type(found) is int and found > FORMAT:
         raise UpgradeNeeded(
-            f"{source}: written in format {found}, and this release reads up to "
-            f"{FORMAT}: upgrade papayabay"
+            f"{source}: written in format {found}, but this release supports "
+            f"formats up to {FORMAT}: upgrade papayabay"
         )
     try:
         return model.model_validate(values)
@@ -104,7 +105,7 @@
 
 
 def read_json_record(model, content, source):
-    """Return the record written as JSON bytes; see `read_record`."""
+    """Return the record of JSON bytes; see `read_record`."""
     try:
         values = json.loads(content)
     except (ValueError, RecursionError):
--- a/packages/papayabay-core/src/papayabay_core/configuration/results.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/results.py
@@ -1,4 +1,4 @@
-"""What became of a commit."""
+"""Results of committing a patch."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class CommitOutcome(Enum):
-    """What is known of a patch after its commit."""
+    """What is known about a patch after its commit."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitResult:
-    """The end of a commit.
+    """The result of a commit.
 
     Attributes
     ----------
     outcome : CommitOutcome
-        ACCEPTED: the patch is stored. STALE: it is not and never will be,
-        since its version is taken or its base is not current. UNKNOWN: it
-        may be stored or may still become so; settle it, or commit the very
-        same patch again, which is safe.
+        ACCEPTED: the patch is stored. STALE: it is not stored and never will
+        be, since another patch has its version. UNKNOWN: it may be stored,
+        now or later; settle it, or commit the same patch again, which is
+        safe.
     patch_id : str
     version : int
-        The version made, the current one when stale, 0 when unknown.
+        The new version; if stale, the current version; if unknown, 0.
     changes : list of Patch
-        When stale, what was committed since the base, oldest first; at most
-        `log.MAX_CHANGES`, and empty when it could not be read.
+        If stale, the patches committed since the base, oldest first, at most
+        `log.MAX_CHANGES`; empty if they could not be read.
     """
 
     outcome: CommitOutcome
--- a/packages/papayabay-core/src/papayabay_core/configuration/snapshot.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of whole versions in the object store."""
+"""Snapshots of the configuration in the object store."""
 
 import hashlib
 import json
@@ -15,8 +15,10 @@
 from papayabay_core.exceptions import PlatformError
 
 SNAPSHOT_EVERY = 64
+"""Versions between two snapshots."""
 SNAPSHOTS_KEPT = 4
-SNAPSHOTS_NAMED = 16
+SNAPSHOTS_LISTED = 16
+"""Most snapshots in the pointer, with those whose removal has failed."""
 SNAPSHOT_PREFIX = "config/snapshot/"
 POINTER_NAME = f"{SNAPSHOT_PREFIX}latest"
 
@@ -27,13 +29,13 @@
 
 
 def checksum(version, values):
-    """Return the SHA-256 over version and values, in hexadecimal."""
+    """Return the SHA-256 of version and values in hexadecimal."""
     content = json.dumps([version, values], sort_keys=True).encode()
     return hashlib.sha256(content).hexdigest()
 
 
 def encode_configuration(configuration):
-    """Return a configuration as bytes, for the store and for peers."""
+    """Return a configuration as bytes for the object store and for peers."""
     version, values = configuration.version, configuration.values
     record = {
         "format": FORMAT,
@@ -45,13 +47,13 @@
 
 
 def decode_configuration(content, source="configuration"):
-    """Return the unconfirmed configuration that the bytes hold.
+    """Return the configuration encoded in bytes; it is not confirmed.
 
     Raises
     ------
     UpgradeNeeded
     CorruptRecord
-        Not whole, or the checksum is another.
+        When the bytes are truncated, malformed or fail the checksum.
     """
     record = read_json_record(SnapshotRecord, content, source)
     if record.sha256 != checksum(record.version, record.values):
@@ -64,7 +66,7 @@
 
 
 class SnapshotStore:
-    """Reads the newest snapshot that is whole, and writes new ones.
+    """Reads, writes and removes snapshots.
 
     Parameters
     ----------
@@ -75,31 +77,33 @@
         self.objects = objects
 
     async def newest(self, upto=None):
-        """Return the newest whole snapshot up to a version, or None.
+        """Return the newest valid snapshot up to a version, or None.
 
-        A snapshot only shortens the tail of patches that is read after it,
-        so one that is missing, torn or unreadable is skipped.
+        Snapshots only reduce the number of patches to read after them, so
+        missing, truncated and unreadable ones are skipped.
         """
-        for version in await self.pointed(upto):
-            found = await self.fetch(version)
-            if found is not None:
-                return found
+        for version in await self.listed_versions(upto):
+            configuration = await self.fetch(version)
+            if configuration is not None:
+                return configuration
         return None
 
     async def fetch(self, version):
-        """Return a version's snapshot, or None unless it is whole."""
+        """Return the snapshot of a version, or None if it is not valid."""
         name = snapshot_name(version)
         try:
             content = await self.objects.get(name)
-            found = content and decode_configuration(content, name)
+            configuration = content and decode_configuration(content, name)
         except PlatformError:
-            # A write that was cut off leaves half an object. Its checksum
-            # fails here, and an older snapshot or the whole tail is read.
+            # An interrupted write leaves a truncated object, which fails its
+            # checksum. An older snapshot or all patches are read instead.
             return None
-        return found if found and found.version == version else None
+        if configuration and configuration.version == version:
+            return configuration
+        return None
 
-    async def pointed(self, upto=None):
-        """Return the versions that the pointer names, newest first."""
+    async def listed_versions(self, upto=None):
+        """Return the versions listed in the pointer, newest first."""
         try:
             content = await self.objects.get(POINTER_NAME)
             if content is None:
@@ -112,12 +116,12 @@
         )
 
     async def save(self, configuration):
-        """Store a snapshot, then point at it and at a few older ones.
+        """Store a snapshot, remove old ones and update the pointer.
 
-        Older ones are removed. One that can't be removed stays in the
-        pointer, and the next save tries again; without a name in it nobody
-        would ever find it. A reader that holds an older pointer finds the
-        newer ones that it names.
+        The `SNAPSHOTS_KEPT` newest snapshots are kept, so that a reader with
+        an earlier pointer still finds one. A snapshot whose removal fails
+        stays in the pointer, and the next save tries again; if it were not
+        listed, it would never be found and removed.
 
         Raises
         ------
@@ -126,19 +130,19 @@
         version = configuration.version
         name = snapshot_name(version)
         await self.objects.put(name, encode_configuration(configuration))
-        older = [v for v in await self.pointed() if v != version]
-        known = sorted([version, *older], reverse=True)
-        versions = known[:SNAPSHOTS_KEPT]
-        versions += await self.remove(known[SNAPSHOTS_KEPT:SNAPSHOTS_NAMED])
+        older = [v for v in await self.listed_versions() if v != version]
+        stored = sorted([version, *older], reverse=True)
+        versions = stored[:SNAPSHOTS_KEPT]
+        versions += await self.remove(stored[SNAPSHOTS_KEPT:SNAPSHOTS_LISTED])
         pointer = {"format": FORMAT, "versions": versions}
         await self.objects.put(POINTER_NAME, json.dumps(pointer).encode())
 
     async def remove(self, versions):
-        """Remove snapshots; return the versions of those that are left."""
-        left = []
+        """Remove snapshots; return the versions whose removal failed."""
+        failed = []
         for version in versions:
             try:
                 await self.objects.delete(snapshot_name(version))
             except PlatformError:
-                left.append(version)
-        return left
+                failed.append(version)
+        return failed
--- a/packages/papayabay-core/src/papayabay_core/configuration/transfer.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/transfer.py
@@ -1,4 +1,4 @@
-"""Patches as bytes, for daemons that send them to each other."""
+"""Encoding of patches that are sent between processes."""
 
 import itertools
 import json
@@ -13,33 +13,37 @@
 def encode_patches(patches):
     """Return consecutive patches as bytes.
 
-    Those that exceed `MAX_TRANSFER_BYTES` are left out; whoever receives
-    the rest asks again from where it then is.
+    Patches beyond `MAX_TRANSFER_BYTES` are left out; the receiver requests
+    them after it has applied the others.
     """
     encoded = [json.dumps(patch.values()).encode() for patch in patches]
-    sizes = itertools.accumulate(len(part) + len(SEPARATOR) for part in encoded)
+    sizes = itertools.accumulate(len(entry) + len(SEPARATOR) for entry in encoded)
     fitting = sum(1 for size in sizes if size < MAX_TRANSFER_BYTES)
     return b"[" + SEPARATOR.join(encoded[:fitting]) + b"]"
 
 
 def decode_patches(content):
-    """Return the patches that a peer sent.
+    """Return the patches sent by a peer.
 
     Raises
     ------
     ProtocolError
-        Too large, malformed, not consecutive, or of a newer release.
+        When the content is too large or malformed, or the patches are not
+        consecutive or of a newer release.
     """
     if len(content) > MAX_TRANSFER_BYTES:
-        raise ProtocolError(f"patches exceed {MAX_TRANSFER_BYTES} bytes")
+        raise ProtocolError(
+            f"patches have {len(content)} bytes, at most {MAX_TRANSFER_BYTES} are "
+            "allowed"
+        )
     try:
         entries = json.loads(content)
     except (ValueError, RecursionError):
         raise ProtocolError("patches are not valid JSON") from None
     if not isinstance(entries, list):
-        raise ProtocolError("patches are not a list")
+        raise ProtocolError(f"patches are not a list: {type(entries).__name__}")
     try:
-        patches = [patch_of_values(entry, "patch of a peer") for entry in entries]
+        patches = [patch_of_values(entry, "patch from a peer") for entry in entries]
     except PlatformError as error:
         raise ProtocolError(str(error)) from None
     if any(b.base != a.version for a, b in itertools.pairwise(patches)):
--- a/tests/unit/core/test_configuration_log.py
+++ b/tests/unit/core/test_configuration_log.py
@@ -1,4 +1,4 @@
-"""The log of patches on the stand-in, with its faults."""
+"""Tests of the configuration log against the simulated platform."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 from papayabay_core.platform import HttpObjectStore, HttpTableService, Put
 
 ACCEPTED, STALE, UNKNOWN = CommitOutcome
-EVERY = "papayabay_core.configuration.log.SNAPSHOT_EVERY"
+SNAPSHOT_EVERY = "papayabay_core.configuration.log.SNAPSHOT_EVERY"
 
 
 def deadline_patch(base, deadline_ms):
@@ -61,7 +61,7 @@
         self.assertEqual([patch.version for patch in found], [2, 3])
         self.assertEqual(len(await self.log.patches_after(0, limit=2)), 2)
 
-    async def test_of_racing_operators_exactly_one_wins(self):
+    async def test_exactly_one_concurrent_commit_is_accepted(self):
         await self.commit_upto(1)
         patches = [deadline_patch(1, 10 + n) for n in range(8)]
         results = await asyncio.gather(*map(self.log.commit, patches))
@@ -73,7 +73,7 @@
             self.assertEqual([p.patch_id for p in loser.changes], winners)
         self.assertEqual(await self.log.head(), 2)
 
-    async def test_row_and_head_each_guard_the_write(self):
+    async def test_write_depends_on_row_and_head(self):
         await self.commit_upto(1)
         other = deadline_patch(1, 7)
         taken_row = Put(patch_key(2), other.values())
@@ -102,14 +102,12 @@
         self.assertEqual(self.platform.stand_in.counters.writes, writes)
 
 
-class DoubtTest(LogCase):
-    async def test_lost_answer_is_settled_by_reading_back(self):
-        """
-        Symptom: a commit fails, and yet its version is in force.
+class UnknownOutcomeTest(LogCase):
+    async def test_lost_answer_is_settled_by_reading_the_row(self):
+        """Guards against a commit that reports failure but was applied.
 
-        Sequence: the transaction is applied, its answer is lost.
-        Cause: without reading back, the operator would submit it again and
-        be told that somebody else's patch was first.
+        The transaction is applied and its answer is lost. Without reading the
+        row, the operator would commit again and get a stale result.
         """
         self.fail_with(lost_answer=1.0)
         patch = deadline_patch(0, 5)
@@ -120,7 +118,7 @@
         self.assertEqual(await self.log.head(), 1)
 
     async def commit_into_outage(self, patch, apply):
-        """Commit with the answer lost and the store down from then on."""
+        """Commit a patch while the store goes down during its write."""
         write = self.table.write
 
         async def write_then_down(puts):
@@ -138,12 +136,10 @@
         self.fail_with()
 
     async def test_applied_before_an_outage(self):
-        """
-        Symptom: nobody can tell whether a commit took effect.
+        """Guards against a guess when the outcome can't be determined.
 
-        Sequence: the transaction is applied, its answer is lost, and the
-        store is down when the patch is read back.
-        Cause: any answer but `unknown` would be a guess.
+        The transaction is applied, its answer is lost, and the store is down
+        when the row is read.
         """
         patch = deadline_patch(0, 5)
         await self.commit_into_outage(patch, apply=True)
@@ -151,12 +147,10 @@
         self.assertEqual((result.outcome, result.version), (ACCEPTED, 1))
 
     async def test_not_applied_before_an_outage(self):
-        """
-        Symptom: as above, but the connection broke before the write.
+        """The same outage, but the connection breaks before the write.
 
-        Sequence: another operator commits against the same base later.
-        Cause: only the row of the version decides; while it is missing,
-        the delayed write could still arrive.
+        While the row is missing, a delayed write could still be applied. Only
+        the row of another commit settles the outcome.
         """
         patch = deadline_patch(0, 5)
         await self.commit_into_outage(patch, apply=False)
@@ -176,13 +170,11 @@
             self.assertEqual((result.outcome, result.version), (ACCEPTED, base + 1))
             self.assertEqual(await self.log.head(), base + 1)
 
-    async def test_out_of_date_reads_never_make_a_false_refusal(self):
-        """
-        Symptom: a commit is refused as stale, and yet it is in force.
+    async def test_stale_reads_never_make_a_stale_result(self):
+        """Guards against a stale result for a commit that was applied.
 
-        Sequence: the answer is lost, and the reads that follow still show
-        the table from before the write.
-        Cause: a missing row was taken as proof that another patch won.
+        The answer is lost, and the reads that follow still return the table
+        from before the write. A missing row proves nothing.
         """
         await self.commit_upto(1)
         patch = deadline_patch(1, 5)
@@ -203,53 +195,52 @@
 class SnapshotTest(LogCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        patcher = mock.patch(EVERY, 2)
+        patcher = mock.patch(SNAPSHOT_EVERY, 2)
         patcher.start()
         self.addCleanup(patcher.stop)
 
-    async def load_from(self, snapshot_version):
+    async def check_load(self, snapshot_version):
         loaded = await self.log.load()
         self.assertEqual((loaded.version, self.deadline_of(loaded)), (5, 5))
         self.assertEqual(loaded.snapshot_version, snapshot_version)
 
     async def test_damaged_snapshots_are_skipped(self):
-        """
-        Symptom: a daemon starts with half a policy, or not at all.
+        """Guards against loading a truncated snapshot or failing on it.
 
-        Sequence: the write of the newest snapshot, later of the pointer, is
-        cut off halfway.
-        Cause: what is stored was trusted without a checksum.
+        The write of the newest snapshot, later that of the pointer, is
+        interrupted. The checksum of the content detects it.
         """
         await self.commit_upto(5)
-        await self.load_from(4)
+        await self.check_load(4)
         stored = self.platform.stand_in.objects
         stored[snapshot_name(4)] = stored[snapshot_name(4)][:50]
-        await self.load_from(2)
+        await self.check_load(2)
         stored[snapshot_name(2)] = stored[snapshot_name(2)].replace(b": 2}", b": 7}")
-        await self.load_from(0)
+        await self.check_load(0)
         stored[POINTER_NAME] = b'{"format": 1, "vers'
-        await self.load_from(0)
+        await self.check_load(0)
 
-    async def test_damaged_pointer_is_mended_by_the_next_commit(self):
+    async def test_damaged_pointer_is_replaced_by_the_next_commit(self):
         await self.commit_upto(4)
         self.platform.stand_in.objects[POINTER_NAME] = b""
         await self.commit_upto(5)
-        await self.load_from(5)
+        await self.check_load(5)
 
     def stored_snapshots(self):
         names = self.platform.stand_in.objects.keys() - {POINTER_NAME}
         return sorted(names)
 
     async def test_old_snapshots_are_removed(self):
-        """The object store grew by 103 MB a day; nothing was ever removed."""
+        """Guards against growth of the object store, once 103 MB a day."""
         await self.commit_upto(20)
         kept = [snapshot_name(version) for version in (14, 16, 18, 20)]
         self.assertEqual(self.stored_snapshots(), kept)
 
-    async def test_snapshot_that_could_not_be_removed_is_tried_again(self):
-        """The store refuses to remove an object while it takes others.
+    async def test_failed_removal_of_a_snapshot_is_retried(self):
+        """Guards against a snapshot that is left in the store for good.
 
-        Symptom: it is left for good, as the pointer doesn't name it.
+        The store refuses to remove it but accepts writes; if the pointer no
+        longer listed it, no later save would remove it.
         """
         refused = mock.AsyncMock(side_effect=PlatformError("refused"))
         with mock.patch.object(self.objects, "delete", refused):
@@ -264,9 +255,9 @@
     async def test_commits_do_not_need_the_object_store(self):
         self.fail_with(kind="object", down="close")
         await self.commit_upto(5)
-        await self.load_from(0)
+        await self.check_load(0)
 
-    async def test_snapshot_serves_unconfirmed_while_the_table_is_down(self):
+    async def test_snapshot_is_loaded_unconfirmed_while_the_table_is_down(self):
         await self.commit_upto(5)
         self.fail_with(kind="table", down="unavailable")
         loaded = await self.log.load()
@@ -283,17 +274,16 @@
         await self.table.write([Put(key, row.value | changes)])
 
     async def test_newer_format_asks_for_an_upgrade(self):
-        """
-        Symptom: an old daemon applies a patch that it half understands.
+        """Guards against a daemon that applies a patch of a newer format.
 
-        Sequence: a newer release writes rows in another format.
-        Cause: members unknown to the old release were ignored.
+        A newer release writes rows with members that this release does not
+        know; ignoring them would apply only a part of the patch.
         """
         await self.commit_upto(2)
         await self.overwrite(2, format=2, scope="riga")
-        for reading in (self.log.load, lambda: self.log.patches_after(0)):
+        for read in (self.log.load, lambda: self.log.patches_after(0)):
             with self.assertRaisesRegex(UpgradeNeeded, "format 2.*upgrade"):
-                await reading()
+                await read()
         head = json.loads('{"format": 3, "epoch": 1}')
         await self.table.write([Put("config/head", head)])
         with self.assertRaises(UpgradeNeeded):
--- a/tests/unit/core/test_configuration_patches.py
+++ b/tests/unit/core/test_configuration_patches.py
@@ -1,4 +1,4 @@
-"""Merge patches, versions and their transfer, without a platform."""
+"""Tests of merge patches, versions and their encoding for peers."""
 
 import dataclasses
 import json
@@ -32,7 +32,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    def test_examples_of_the_standard(self):
+    def test_examples_of_rfc_7386(self):
         cases = [
             ({"a": "b", "b": "c"}, {"a": None}, {"b": "c"}),
             ({"a": {"b": "c"}}, {"a": {"b": "d", "c": None}}, {"a": {"b": "d"}}),
@@ -45,7 +45,7 @@
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(DOCUMENTS, DOCUMENTS)
-    def test_difference_makes_the_new_document(self, old, new):
+    def test_diff_turns_the_old_document_into_the_new(self, old, new):
         merged = merge_patch(old, diff_documents(old, new))
         self.assertEqual(
             json.dumps(merged, sort_keys=True), json.dumps(new, sort_keys=True)
@@ -57,7 +57,7 @@
 
 
 class PatchTest(unittest.TestCase):
-    def test_unfit_patches_are_refused(self):
+    def test_invalid_patches_are_refused(self):
         deep = {}
         for _ in range(40):
             deep = {"a": deep}
@@ -77,13 +77,13 @@
         with self.assertRaises(StaleVersion):
             Configuration().apply(second)
 
-    def test_transfer_and_its_bound(self):
+    def test_encoded_patches_are_limited_in_size(self):
         patches = [new_patch(n, {"a": "x" * 200_000}) for n in range(20)]
         received = decode_patches(encode_patches(patches))
         self.assertEqual(received, patches[: len(received)])
         self.assertEqual(len(received), MAX_TRANSFER_BYTES // 200_300)
 
-    def test_malformed_transfers_are_refused(self):
+    def test_malformed_encodings_are_refused(self):
         gap = encode_patches([new_patch(0, {}), new_patch(2, {})])
         newer = json.dumps([new_patch(0, {}).values() | {"format": 2}]).encode()
         bad_step = dataclasses.replace(new_patch(3, {}), base=1)
