--- a/packages/papayabay-core/src/papayabay_core/faults.py
+++ b/packages/papayabay-core/src/papayabay_core/faults.py
@@ -1,7 +1,7 @@
-"""Finds every fault of values that don't fit their model.
+"""Finds all faults of values that are not valid for their model.
 
-Only used once values were refused: the library names the first fault and
-stops, and who mends a file wants all of them.
+msgspec stops at the first fault, but whoever corrects a file needs all of
+them. This slower search runs only after msgspec has refused the values.
 """
 
 import re
@@ -14,32 +14,34 @@
 
 
 def find_faults(model, values):
-    """Return the faults of plain values as a list of `Fault`.
+    """Return all faults of plain values as a list of `Fault`.
 
     Parameters
     ----------
     model : type
-        A `Model`.
+        Subclass of `Model`.
     values : object
     """
     return list(faults_in(inspect.type_info(model), values, ()))
 
 
 def faults_in(kind, value, path):
-    """Yield the faults of a value of one type.
+    """Return the faults of a value as an iterable of `Fault`.
 
     Parameters
     ----------
     kind : msgspec.inspect.Type
+        The expected type.
     value : object
     path : tuple
+        Keys and list indices that lead to the value.
     """
     finder = FINDERS.get(type(kind))
     return finder(kind, value, path) if finder else ()
 
 
 def struct_faults(kind, value, path):
-    """Yield the faults of a table with known keys."""
+    """Yield the faults of a model's table."""
     if not isinstance(value, dict):
         yield Fault(path, "Input should be a valid dictionary")
         return
@@ -53,7 +55,7 @@
 
 
 def field_faults(kind, field, values, path):
-    """Yield the faults of one field of a table."""
+    """Yield the faults of one field of a model."""
     where = (*path, field.encode_name)
     if field.encode_name not in values:
         if field.required:
@@ -81,17 +83,17 @@
         yield Fault(path, "Input should be a valid list")
         return
     if len(value) < (kind.min_length or 0):
-        yield Fault(path, f"List should have at least {counted(kind.min_length)}")
+        yield Fault(path, f"List should have at least {item_count(kind.min_length)}")
     if kind.max_length is not None and len(value) > kind.max_length:
-        yield Fault(path, f"List should have at most {counted(kind.max_length)}")
+        yield Fault(path, f"List should have at most {item_count(kind.max_length)}")
     items = enumerate(value)
     yield from chain.from_iterable(
-        faults_in(kind.item_type, item, (*path, place)) for place, item in items
+        faults_in(kind.item_type, item, (*path, index)) for index, item in items
     )
 
 
 def dict_faults(kind, value, path):
-    """Yield the faults of a table with any keys."""
+    """Yield the faults of a dictionary with arbitrary keys."""
     if not isinstance(value, dict):
         yield Fault(path, "Input should be a valid dictionary")
         return
@@ -101,15 +103,15 @@
 
 
 def union_faults(kind, value, path):
-    """Yield the faults of a value that may be left empty."""
+    """Return the faults of an optional value."""
     kinds = [one for one in kind.types if not isinstance(one, inspect.NoneType)]
     if value is None and len(kinds) < len(kind.types):
         return ()
     return faults_in(kinds[0], value, path)
 
 
-def text_faults(kind, value, path):
-    """Yield the faults of a text."""
+def string_faults(kind, value, path):
+    """Yield the faults of a string."""
     if not isinstance(value, str):
         yield Fault(path, "Input should be a valid string")
         return
@@ -122,21 +124,21 @@
 
 
 def integer_faults(kind, value, path):
-    """Return the faults of a whole number."""
+    """Return the faults of an integer."""
     if type(value) is not int:
         return [Fault(path, "Input should be a valid integer")]
     return bound_faults(kind, value, path)
 
 
 def number_faults(kind, value, path):
-    """Return the faults of a number."""
+    """Return the faults of an integer or floating-point number."""
     if type(value) not in (int, float):
         return [Fault(path, "Input should be a valid number")]
     return bound_faults(kind, value, path)
 
 
 def bound_faults(kind, value, path):
-    """Yield the bounds that a number is beyond."""
+    """Yield a fault for each bound that a number violates."""
     for fits, relation, bound in (
         (kind.gt is None or value > kind.gt, "greater than", kind.gt),
         (kind.ge is None or value >= kind.ge, "greater than or equal to", kind.ge),
@@ -147,25 +149,25 @@
             yield Fault(path, f"Input should be {relation} {bound}")
 
 
-def truth_faults(kind, value, path):
-    """Yield the fault of what is neither true nor false."""
+def boolean_faults(kind, value, path):
+    """Yield a fault unless the value is a boolean."""
     if not isinstance(value, bool):
         yield Fault(path, "Input should be a valid boolean")
 
 
 def literal_faults(values, value, path):
-    """Yield the fault of what is none of some values, in their order."""
+    """Yield a fault unless the value is one of some literals."""
     if not any(value == one and type(value) is type(one) for one in values):
         yield Fault(path, f"Input should be one of {', '.join(map(repr, values))}")
 
 
 def declared_type(model, name):
-    """Return the type that a model declares for a field."""
+    """Return the declared type of a field of a model."""
     return next(one.type for one in structs.fields(model) if one.name == name)
 
 
-def counted(number):
-    """Return a number of items in words."""
+def item_count(number):
+    """Return a number of items as text."""
     return f"{number} item" if number == 1 else f"{number} items"
 
 
@@ -174,8 +176,8 @@
     inspect.ListType: list_faults,
     inspect.DictType: dict_faults,
     inspect.UnionType: union_faults,
-    inspect.StrType: text_faults,
+    inspect.StrType: string_faults,
     inspect.IntType: integer_faults,
     inspect.FloatType: number_faults,
-    inspect.BoolType: truth_faults,
+    inspect.BoolType: boolean_faults,
 }
--- a/packages/papayabay-core/src/papayabay_core/models.py
+++ b/packages/papayabay-core/src/papayabay_core/models.py
@@ -1,4 +1,4 @@
-"""Validated models at the border: files, messages and stored records."""
+"""Validated models of files, messages and stored records."""
 
 from collections.abc import Callable
 from copy import copy
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What is wrong with one value.
+    """A validation error of one value.
 
     Attributes
     ----------
     path : tuple of (str or int)
-        Keys and places from the outermost table to the value.
+        Keys and list indices from the outermost table to the value.
     message : str
-        What was expected; never the value, which may be a secret.
+        What is expected; never the value itself, which may be a secret.
     """
 
     path: tuple
@@ -29,12 +29,12 @@
 
 
 class InvalidValues(ValueError):
-    """Values that don't fit their model.
+    """Values that are not valid for their model.
 
     Parameters
     ----------
     faults : list of Fault
-        All that were found, at least one.
+        All faults found, at least one.
     """
 
     def __init__(self, faults):
@@ -43,7 +43,7 @@
 
 
 class FieldTable:
-    """Gives a model's fields by name, with their defaults."""
+    """Descriptor for the fields of a model by name, with their defaults."""
 
     def __get__(self, instance, owner):
         return {field.name: ModelField(field) for field in structs.fields(owner)}
@@ -62,20 +62,20 @@
         self.required = field.required
 
     def is_required(self):
-        """Whether it must be given."""
+        """Return whether the field has no default."""
         return self.required
 
 
 class Model(Struct, frozen=True, kw_only=True):
-    """Values that were checked against their types.
+    """Base class of models whose values are checked against their types.
 
-    They use the library that decodes calls between daemons; a second one
+    Uses msgspec, which also decodes calls between daemons; a second library
     would add to the memory and the start-up time of each process.
 
     Attributes
     ----------
     checks : dict of str to callable
-        By field, what its type can't say; raises `ValueError`.
+        Further checks by field name; they raise `ValueError`.
     """
 
     checks: ClassVar[dict[str, Callable[[Any], object]]] = {}
@@ -89,7 +89,7 @@
 
     @classmethod
     def model_validate(cls, values):
-        """Return the model of plain values; raises `InvalidValues`."""
+        """Return a model made from plain values; raises `InvalidValues`."""
         try:
             return convert(values, cls)
         except (msgspec.ValidationError, RecursionError) as error:
@@ -97,7 +97,7 @@
 
     @classmethod
     def model_validate_json(cls, content):
-        """Return the model of JSON bytes; raises `InvalidValues`."""
+        """Return a model made from JSON bytes; raises `InvalidValues`."""
         try:
             values = msgspec.json.decode(content)
         except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
@@ -106,35 +106,35 @@
 
     @classmethod
     def faults_of(cls, values, error):
-        """Return all faults of values that were refused for the first one."""
+        """Return all faults of values; msgspec reports only the first one."""
         from papayabay_core.faults import find_faults
 
         return find_faults(cls, values) or [Fault((), str(error))]
 
     def model_copy(self, update):
-        """Return a copy with some fields changed; they aren't checked."""
+        """Return a copy with some fields changed, without checking them."""
         changed = copy(self)
         for name, value in update.items():
             structs.force_setattr(changed, name, value)
         return changed
 
     def model_dump(self, exclude=()):
-        """Return it as plain values, some fields left out."""
+        """Return the fields as plain values, except those in `exclude`."""
         values = to_builtins(self)
         return {key: value for key, value in values.items() if key not in exclude}
 
 
 class Strict(Model, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A table in which an unknown key is an error."""
+    """Base class of models in which an unknown key is an error."""
 
 
 def explain_faults(error, source):
-    """Return one line per fault of `InvalidValues`: source, key, cause.
+    """Return a line for each fault of `InvalidValues`: source, key, message.
 
     Parameters
     ----------
     error : InvalidValues
     source : str
-        File name, version or kind of message.
+        Where the values are from: file name, version or kind of message.
     """
     return "\n".join(f"{source}: {fault}" for fault in error.faults)
--- a/tests/unit/core/test_models.py
+++ b/tests/unit/core/test_models.py
@@ -1,4 +1,4 @@
-"""Models at the border: every fault is named, and nothing is converted."""
+"""Tests of models: all faults are reported, no value is converted."""
 
 import unittest
 from typing import Annotated, Literal
@@ -34,13 +34,13 @@
             model.model_validate(values)
         return [str(fault) for fault in caught.exception.faults]
 
-    def test_values_that_fit(self):
+    def test_valid_values(self):
         whole = Whole.model_validate({"theParts": [{"even": 4}], "by_name": {"a": 1}})
         self.assertEqual(whole.parts, [Part(even=4)])
         self.assertEqual(whole.by_name, {"a": 1.0})
         self.assertEqual(Whole.model_validate_json(b'{"theParts":[{"even":4}]}').on, 0)
 
-    def test_every_fault_is_named_with_its_place(self):
+    def test_every_fault_is_reported_with_its_path(self):
         values = {
             "theParts": [{"even": 3}, {"even": "4", "word": "four", "x": 1}, 7],
             "by_name": {"abc": 1, "d": "e"},
@@ -62,7 +62,7 @@
             ],
         )
 
-    def test_what_is_missing_or_short(self):
+    def test_missing_and_short_values(self):
         self.assertEqual(self.faults({}), ["theParts: Field required"])
         expected = "theParts: List should have at least 1 item"
         self.assertEqual(self.faults({"theParts": []}), [expected])
@@ -70,32 +70,33 @@
             self.faults([]), ["(whole file): Input should be a valid dictionary"]
         )
 
-    def test_numbers_are_not_made_of_other_types(self):
-        """A heartbeat of another writer was taken for an upstream's.
+    def test_numbers_are_not_converted_from_other_types(self):
+        """Guards against a message whose numbers are strings.
 
-        Its number was a text; the library before this one read a number in it.
+        A library that converts strings to numbers accepted a heartbeat that
+        another program had sent, as if it came from the upstream.
         """
         for value in ("4", 4.5, True, None, 10**30):
             with self.subTest(value=value):
                 self.assertTrue(self.faults({"even": value}, Part))
 
-    def test_a_pattern_holds_to_the_end_of_the_text(self):
+    def test_pattern_matches_to_the_end_of_the_string(self):
         expected = r"word: String should match pattern '^[a-z]+\Z'"
         self.assertEqual(self.faults({"even": 2, "word": "a\n"}, Part), [expected])
 
-    def test_text_that_is_no_json(self):
+    def test_malformed_json_is_refused(self):
         for content in (b"", b"{", b"\xff", b"[" * 100_000):
             with self.subTest(content=content[:4]):
                 self.assertRaises(InvalidValues, Part.model_validate_json, content)
 
-    def test_explanation_has_a_line_for_each_fault(self):
+    def test_explanation_has_one_line_per_fault(self):
         with self.assertRaises(InvalidValues) as caught:
             Part.model_validate({"word": "A"})
         lines = explain_faults(caught.exception, "message").splitlines()
         self.assertEqual(lines[0], "message: even: Field required")
         self.assertEqual(len(lines), 2)
 
-    def test_a_copy_leaves_the_original(self):
+    def test_copy_does_not_change_the_original(self):
         part = Part(even=2)
         self.assertEqual(part.model_copy({"word": "ab"}), Part(even=2, word="ab"))
         self.assertIsNone(part.word)
