--- a/packages/papayabay-core/src/papayabay_core/settings.py
+++ b/packages/papayabay-core/src/papayabay_core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the programs, read from TOML and validated at the border."""
+"""Settings of the programs, read from TOML files and validated."""
 
 import ipaddress
 import tomllib
@@ -15,20 +15,20 @@
 
 
 def check_member_host(host):
-    """Return an IP address by which other VMs can reach this one."""
+    """Raise `ValueError` unless other VMs can reach this one at the host."""
     if not is_address(host):
-        raise ValueError(f"{host!r} is not an IP address; others need an address")
+        raise ValueError(f"{host!r} is not an IP address")
     address = ipaddress.ip_address(host)
     if address.is_unspecified or address.is_multicast:
-        raise ValueError(f"{host!r} is no address by which others reach this VM")
+        raise ValueError(f"{host!r} is not an address at which others reach this VM")
     return host
 
 
 def check_loopback_host(host):
-    """Return an IP address that only this VM reaches.
+    """Raise `ValueError` unless the host is a loopback IP address.
 
-    Whoever reaches these doors can announce targets and read everything;
-    an address of the network here would open them to every VM unnoticed.
+    Clients of these listeners are not authenticated: they can announce targets
+    and read all status. A network address would expose them to every VM.
     """
     if not is_address(host) or not ipaddress.ip_address(host).is_loopback:
         raise ValueError(f"{host!r} is not a loopback IP address such as 127.0.0.1")
@@ -36,7 +36,7 @@
 
 
 def is_address(host):
-    """Return whether a text is an IP address, not a name."""
+    """Return whether a host is an IP address, not a name."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
@@ -48,7 +48,7 @@
 
 
 class VmSettings(Strict, frozen=True, kw_only=True):
-    """Who and where this daemon is. A port of 0 takes any free one."""
+    """Identity and addresses of the daemon; port 0 selects a free port."""
 
     checks = {"host": check_member_host}
 
@@ -62,7 +62,7 @@
 
 
 class LoopbackSettings(Strict, frozen=True, kw_only=True):
-    """Doors that only this VM reaches."""
+    """Listeners that can be reached only from this VM."""
 
     checks = {"host": check_loopback_host}
 
@@ -72,14 +72,14 @@
 
 
 class ClusterSettings(Strict, frozen=True, kw_only=True):
-    """Which daemons belong together, and how they prove it."""
+    """The cluster that the daemon belongs to, and its shared secret."""
 
     name: Annotated[str, Meta(min_length=1, max_length=63)] = "papayabay"
     secret: Secret
 
 
 class PlatformSettings(Strict, frozen=True, kw_only=True):
-    """The platform's table service and object store."""
+    """Addresses of the platform's table service and object store."""
 
     table_url: str
     object_url: str
@@ -87,12 +87,12 @@
 
 
 class LogSettings(Strict, frozen=True, kw_only=True):
-    """Form, level and place of the log.
+    """Format, level and output of the log.
 
     Attributes
     ----------
     decisions : bool
-        Whether each decision on a request gets a line.
+        Whether each decision on a request is logged.
     """
 
     format: Literal["human", "json"] = "human"
@@ -102,7 +102,7 @@
 
 
 class StatsdSettings(Strict, frozen=True, kw_only=True):
-    """Where metrics go; nothing is sent without a host."""
+    """The statsd server that gets metrics; without a host, none are sent."""
 
     host: str | None = None
     port: Port = 8125
@@ -111,7 +111,7 @@
 
 
 class MetricsSettings(Strict, frozen=True, kw_only=True):
-    """Where metrics can be fetched; nowhere without a host."""
+    """The listener that serves metrics; without a host, there is none."""
 
     checks = {"host": check_member_host}
 
@@ -121,7 +121,7 @@
 
 
 class LimitSettings(Strict, frozen=True, kw_only=True):
-    """Bounds on what is accepted."""
+    """Limits on requests, connections and draining."""
 
     header_bytes: Annotated[int, Meta(ge=1_024, le=1_048_576)] = 16_384
     body_bytes: Annotated[int, Meta(ge=1_024)] = 64 * 1024 * 1024
@@ -135,13 +135,13 @@
 
 
 class CallSettings(Strict, frozen=True, kw_only=True):
-    """How calls are told apart where callers and targets say little."""
+    """How calls are identified when targets send no call token."""
 
     infer_parents: bool = False
 
 
 class TimingSettings(Strict, frozen=True, kw_only=True):
-    """Periods of the control protocols."""
+    """Periods and timeouts of the protocols between daemons."""
 
     link_heartbeat_ms: Milliseconds = 500
     link_silence_ms: Milliseconds = 2_000
@@ -153,7 +153,7 @@
 
 
 class TargetSettings(Strict, frozen=True, kw_only=True):
-    """A target whose place is known before it announces itself."""
+    """A target whose address is known before it announces itself."""
 
     checks = {"host": check_member_host}
 
@@ -179,7 +179,7 @@
 
 
 class OperatorSettings(Strict, frozen=True, kw_only=True):
-    """Settings of the command line."""
+    """Settings of the command line interface."""
 
     platform: PlatformSettings
     status_urls: list[str] = []
@@ -198,7 +198,7 @@
     Raises
     ------
     SettingsError
-        One line per fault, naming file, key and what is expected.
+        With one line per fault: file, key and what is expected.
     """
     try:
         values = tomllib.loads(Path(path).read_text())
--- a/packages/papayabay-core/src/papayabay_core/utils/__init__.py
+++ b/packages/papayabay-core/src/papayabay_core/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Narrow helpers without state."""
+"""Small stateless helper functions."""
--- a/packages/papayabay-core/src/papayabay_core/utils/clock.py
+++ b/packages/papayabay-core/src/papayabay_core/utils/clock.py
@@ -1,24 +1,24 @@
-"""The clocks that lifetimes and pauses are measured by."""
+"""The clock for deadlines and timeouts."""
 
 import math
 import time
 
 
 def now():
-    """Return seconds on a clock that counts suspended time.
+    """Return the time on a monotonic clock that includes suspended time.
 
-    ``CLOCK_MONOTONIC`` stands still while a VM is suspended, so a holder
-    that resumes would believe that no time has passed. ``CLOCK_BOOTTIME``
-    goes on, which lets the holder see that its lifetime has ended.
+    ``CLOCK_MONOTONIC`` stops while a VM is suspended, so a daemon that resumes
+    would use leases and deadlines that have expired. ``CLOCK_BOOTTIME``
+    continues during suspension.
 
     Returns
     -------
     float
-        Seconds since the machine started. Never sent to another machine.
+        Seconds since the VM was started; has no meaning on other VMs.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def whole_ms(seconds):
-    """Return a duration in whole milliseconds, rounded up."""
+    """Return a duration in milliseconds, rounded up."""
     return math.ceil(seconds * 1_000)
--- a/packages/papayabay-core/src/papayabay_core/utils/identifiers.py
+++ b/packages/papayabay-core/src/papayabay_core/utils/identifiers.py
@@ -1,4 +1,4 @@
-"""Identifiers of requests, attempts, patches and incarnations."""
+"""Random identifiers of requests, attempts and patches."""
 
 import secrets
 
@@ -6,5 +6,5 @@
 
 
 def new_identifier():
-    """Return a fresh random identifier of 24 hexadecimal digits."""
+    """Return a new random identifier of 24 hexadecimal digits."""
     return secrets.token_hex(IDENTIFIER_BYTES)
--- a/packages/papayabay-core/src/papayabay_core/wire/__init__.py
+++ b/packages/papayabay-core/src/papayabay_core/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The schema of the frames that daemons exchange on their links."""
+"""Schema of the frames that daemons exchange on their links."""
 
 from pathlib import Path
 
--- a/tests/unit/core/test_settings.py
+++ b/tests/unit/core/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: what is refused, and how the operator is told."""
+"""Tests of settings files: defaults, refused values, error messages."""
 
 import tempfile
 import unittest
@@ -34,16 +34,16 @@
         )
         return load_settings(self.path)
 
-    def assert_one_line(self, content, *parts):
-        """Assert that the only line names the file, then all parts."""
+    def assert_one_line(self, content, *texts):
+        """Assert that the error is one line with the file and all texts."""
         with self.assertRaises(SettingsError) as caught:
             self.load(content)
         (line,) = str(caught.exception).splitlines()
         self.assertTrue(line.startswith(f"{self.path}: "), line)
-        for part in parts:
-            self.assertIn(part, line)
+        for text in texts:
+            self.assertIn(text, line)
 
-    def test_left_out_keys_have_their_defaults(self):
+    def test_missing_keys_have_their_defaults(self):
         settings = self.load(VALID)
         self.assertEqual(settings.vm.region, "default")
         self.assertEqual(settings.limits.drain_ms, 60_000)
@@ -60,7 +60,7 @@
         faulty = VALID + '[limits]\ndrain_ms = "a minute"\n'
         self.assert_one_line(faulty, " limits.drain_ms: ", "valid integer")
 
-    def test_impossible_values(self):
+    def test_values_out_of_range(self):
         for table, key, value, expected in (
             ("timing", "suspicion_ms", "0", "greater than 0"),
             ("timing", "config_readers_per_domain", "17", "less than or equal to 16"),
@@ -72,17 +72,16 @@
                 faulty = f"{VALID}[{table}]\n{key} = {value}\n"
                 self.assert_one_line(faulty, f" {table}.{key}: ", expected)
 
-    def test_what_must_be_there(self):
+    def test_required_keys(self):
         for key in ("name", "failure_domain", "secret", "table_url", "object_url"):
             with self.subTest(key):
                 kept = [line for line in VALID.splitlines() if not line.startswith(key)]
                 self.assert_one_line("\n".join(kept), f".{key}: ", "required")
 
-    def test_short_secret_is_not_repeated(self):
-        """An error names the key, not the value.
+    def test_short_secret_is_not_shown(self):
+        """Guards against an error message that shows the refused value.
 
-        Symptom: the cluster's secret stood in the log of the process manager.
-        Cause: an error message that shows the refused value.
+        The cluster secret was written to the log of the process manager.
         """
         faulty = VALID.replace("long enough", "hunter2")
         self.assert_one_line(faulty, " cluster.secret: ", "at least 8 characters")
@@ -90,7 +89,7 @@
             self.load(faulty)
         self.assertNotIn("hunter2", str(caught.exception))
 
-    def test_one_line_for_each_fault(self):
+    def test_one_line_per_fault(self):
         faulty = VALID + "[limits]\ndepth = 0\ndrain_ms = 0\n"
         with self.assertRaises(SettingsError) as caught:
             self.load(faulty)
@@ -102,7 +101,7 @@
     def test_file_that_is_not_text(self):
         self.assert_one_line(b"\xff\xfe", "not valid TOML")
 
-    def test_file_that_is_not_there(self):
+    def test_missing_file(self):
         missing = self.path.with_name("missing.toml")
         with self.assertRaisesRegex(SettingsError, "^.*missing.toml: No such file"):
             load_settings(missing)
