--- a/packages/papayabay-core/src/papayabay_core/configuration/patch.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/patch.py
@@ -77,7 +77,7 @@
     """Raise `PolicyError` if the patch can't be stored."""
     source = f"patch {patch.patch_id}"
     if depth_of(patch.patch) > MAX_DEPTH:
-        raise PolicyError(f"{source}: nested deeper than {MAX_DEPTH} levels")
+        raise PolicyError(f"{source}: nested deeper than {MAX_DEPTH}")
     try:
         size = len(json.dumps(patch.patch, allow_nan=False))
     except (TypeError, ValueError) as error:
@@ -110,11 +110,10 @@
     record = read_record(PatchRecord, values, source)
     if record.version != record.base + 1:
         raise CorruptRecord(
-            f"{source}: version {record.version} is not the next after base "
-            f"{record.base}"
+            f"{source}: version {record.version} does not follow {record.base}"
         )
     if depth_of(record.patch) > MAX_DEPTH:
-        raise CorruptRecord(f"{source}: nested deeper than {MAX_DEPTH} levels")
+        raise CorruptRecord(f"{source}: nested deeper than {MAX_DEPTH}")
     return Patch(**record.model_dump(exclude={"format"}))
 
 
--- a/packages/papayabay-core/src/papayabay_core/configuration/records.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/records.py
@@ -26,7 +26,7 @@
 def check_version(version):
     """Raise `ValueError` if a version has too many digits for a row key."""
     if version > MAX_VERSION:
-        raise ValueError(f"a version has at most {len(str(MAX_VERSION))} digits")
+        raise ValueError(f"a version has {len(str(MAX_VERSION))} digits at most")
 
 
 def check_versions(versions):
@@ -95,8 +95,8 @@
     found = values.get("format") if isinstance(values, dict) else None
     if type(found) is int and found > FORMAT:
         raise UpgradeNeeded(
-            f"{source}: written in format {found}, but this release supports "
-            f"formats up to {FORMAT}: upgrade papayabay"
+            f"{source}: written in format {found}, and this release reads up to "
+            f"{FORMAT}: upgrade papayabay"
         )
     try:
         return model.model_validate(values)
--- a/packages/papayabay-core/src/papayabay_core/configuration/transfer.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/transfer.py
@@ -23,7 +23,9 @@
 
 
 def decode_patches(content):
-    """Return the patches sent by a peer.
+    """Return the patches sent by a peer or an operator.
+
+    The texts of the errors are a part of the status listener's answers.
 
     Raises
     ------
@@ -32,18 +34,15 @@
         consecutive or of a newer release.
     """
     if len(content) > MAX_TRANSFER_BYTES:
-        raise ProtocolError(
-            f"patches have {len(content)} bytes, at most {MAX_TRANSFER_BYTES} are "
-            "allowed"
-        )
+        raise ProtocolError(f"patches exceed {MAX_TRANSFER_BYTES} bytes")
     try:
         entries = json.loads(content)
     except (ValueError, RecursionError):
         raise ProtocolError("patches are not valid JSON") from None
     if not isinstance(entries, list):
-        raise ProtocolError(f"patches are not a list: {type(entries).__name__}")
+        raise ProtocolError("patches are not a list")
     try:
-        patches = [patch_of_values(entry, "patch from a peer") for entry in entries]
+        patches = [patch_of_values(entry, "patch of a peer") for entry in entries]
     except PlatformError as error:
         raise ProtocolError(str(error)) from None
     if any(b.base != a.version for a, b in itertools.pairwise(patches)):
