--- a/packages/papayabay-core/src/papayabay_core/http/__init__.py
+++ b/packages/papayabay-core/src/papayabay_core/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP connections on a library's parser, as all of papayabay uses them."""
+"""HTTP/1.1 connections on top of the httptools parser."""
--- a/packages/papayabay-core/src/papayabay_core/http/client.py
+++ b/packages/papayabay-core/src/papayabay_core/http/client.py
@@ -1,4 +1,4 @@
-"""A connection on which requests are sent, one at a time."""
+"""HTTP client connections, which send one request at a time."""
 
 import asyncio
 from collections import deque
@@ -10,6 +10,7 @@
 from papayabay_core.http.payload import IncompletePayload, Payload
 
 FIRST_FINAL_STATUS = 200
+"""Lower statuses are interim answers (1xx)."""
 
 
 class Message:
@@ -31,24 +32,25 @@
 
 
 class ClientConnection(HeaderCollector, HttpConnection):
-    """A connection to a server that answers one request at a time.
+    """A connection to a server, without pipelining of requests.
 
     Parameters
     ----------
     limits : LimitSettings
     on_lost : callable
-        Called with the connection when it has ended.
+        Called with the connection when it has been closed.
 
     Attributes
     ----------
-    arrived : deque of Message
-        Answers not taken yet, whole or with more at hand than fits inline.
+    received : deque of Message
+        Answers not returned by `receive` yet. They are complete, or have at
+        least `inline_body_bytes` of their body.
     busy : bool
-        Whether a request was sent whose answer wasn't read to its end.
-    spoiled : bool
-        Whether nothing that still comes can be trusted to belong anywhere.
+        Whether a request was sent whose answer has not been read completely.
+    unusable : bool
+        Whether further bytes can no longer be attributed to a request.
     idle_since : float
-        When it was last given back, on `clock.now()`.
+        When it was last returned to the pool, on `clock.now()`.
     """
 
     def __init__(self, limits, on_lost):
@@ -58,51 +60,51 @@
         self.on_lost = on_lost
         self.parser = httptools.HttpResponseParser(self)
         self.message = None
-        self.announced = False
-        self.arrived = deque()
+        self.delivered = False
+        self.received = deque()
         self.waiter = None
-        self.fault = None
+        self.error = None
         self.bodiless = False
         self.busy = False
-        self.spoiled = False
+        self.unusable = False
         self.idle_since = 0.0
 
     @property
     def reusable(self):
-        """Whether another request may be sent on it."""
-        between = not (self.in_head or self.message or self.arrived)
-        return between and not (self.spoiled or self.closed)
+        """Whether another request may be sent on this connection."""
+        between = not (self.in_head or self.message or self.received)
+        return between and not (self.unusable or self.closed)
 
     def start_request(self, bodiless):
-        """Note that a request is sent, and whether its answer has no body."""
+        """Mark the connection busy; `bodiless` if the answer has no body."""
         self.bodiless = bodiless
         self.busy = True
 
     async def receive(self):
-        """Return the next answer, whole or with enough to pass on.
+        """Return the next answer: head and body, or the first part of a body.
 
         Raises
         ------
         ConnectionError
-            When the connection ended, or sent what is no answer.
+            When the connection was closed or the server sent invalid HTTP.
         """
-        while not self.arrived:
-            if self.fault is not None:
-                raise self.fault
+        while not self.received:
+            if self.error is not None:
+                raise self.error
             self.waiter = asyncio.get_running_loop().create_future()
             await self.waiter
-        return self.arrived.popleft()
+        return self.received.popleft()
 
     def abort(self):
-        """End the connection at once."""
-        self.spoiled = True
+        """Close the connection without sending what is buffered."""
+        self.unusable = True
         if not self.closed:
             self.transport.abort()
 
-    # What the transport and the parser report.
+    # Callbacks of the transport and the parser.
 
     def connection_lost(self, error):
-        """End what is under way; an answer may end with its connection."""
+        """Fail the current answer, unless it ends with its connection."""
         super().connection_lost(error)
         message = self.message
         if message is not None and error is None and not message.head.is_framed:
@@ -112,8 +114,8 @@
         self.on_lost(self)
 
     def data_received(self, data):
-        """Parse what came; bytes that nobody asked for end the connection."""
-        if self.spoiled:
+        """Parse received bytes; abort if no request is waiting for them."""
+        if self.unusable:
             return
         if not self.busy:
             self.abort()
@@ -122,75 +124,75 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.spoil(f"what came is no answer: {error!r}")
+            self.abort_with(f"what came is no answer: {error!r}")
             return
         if within_head and self.in_head:
             self.head_bytes += len(data)
             if self.head_bytes > self.header_bytes:
-                self.spoil("the head of an answer is too long")
+                self.abort_with("the head of an answer is too long")
 
     def on_headers_complete(self):
-        """Take in the head; interim answers are passed over."""
+        """Start an answer; interim answers are skipped."""
         status = self.parser.get_status_code()
         head = Head(self.end_head())
         if status < FIRST_FINAL_STATUS:
             return
         self.message = Message(status, head, Payload(self))
-        self.announced = False
+        self.delivered = False
         if self.bodiless:
-            # The parser takes what follows for a body. So this connection
-            # serves no other request.
+            # The parser would read following bytes as a body, so the
+            # connection is not used again.
             self.complete(self.message)
-            self.spoiled = True
+            self.unusable = True
 
     def on_body(self, data):
-        """Take in a part of the body."""
+        """Add a chunk of the body; deliver the answer once it is large."""
         message = self.message
         if message is None:
             return
         message.payload.feed(data)
-        if not self.announced and message.payload.received_bytes >= self.inline_bytes:
-            self.announce(message)
+        if not self.delivered and message.payload.received_bytes >= self.inline_bytes:
+            self.deliver(message)
 
     def on_message_complete(self):
-        """Note the end of an answer."""
+        """Complete an answer whose end was parsed."""
         message = self.message
         if message is None:
             return
-        self.spoiled = self.spoiled or not self.parser.should_keep_alive()
+        self.unusable = self.unusable or not self.parser.should_keep_alive()
         self.complete(message)
 
-    # How an answer, or the lack of one, reaches its reader.
+    # Delivery of answers and errors to the reader.
 
     def complete(self, message):
-        """Take an answer for whole."""
+        """Mark an answer as complete and deliver it."""
         self.message = None
         message.payload.finish()
-        if not self.announced:
-            self.announce(message)
+        if not self.delivered:
+            self.deliver(message)
 
-    def announce(self, message):
-        """Let the reader have an answer."""
-        self.announced = True
-        self.arrived.append(message)
+    def deliver(self, message):
+        """Pass an answer to the reader."""
+        self.delivered = True
+        self.received.append(message)
         self.wake()
 
-    def spoil(self, detail):
-        """End the connection because of what came on it."""
-        self.spoiled = True
+    def abort_with(self, detail):
+        """Close the connection because of invalid input."""
+        self.unusable = True
         self.fail(IncompletePayload(detail))
         self.transport.abort()
 
     def fail(self, error):
-        """Pass an error on to the reader of what is under way."""
-        if self.fault is None:
-            self.fault = error
+        """Pass an error to the reader of the current answer."""
+        if self.error is None:
+            self.error = error
         if self.message is not None:
             self.message.payload.fail(error)
             self.message = None
         self.wake()
 
     def wake(self):
-        """Let the reader look again."""
+        """Wake the waiting reader."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
--- a/packages/papayabay-core/src/papayabay_core/http/connection.py
+++ b/packages/papayabay-core/src/papayabay_core/http/connection.py
@@ -1,4 +1,4 @@
-"""What connections of both sides share: pausing, writing, their end."""
+"""Flow control and closing, for both client and server connections."""
 
 import asyncio
 import socket
@@ -6,15 +6,15 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """A connection that can be held, and whose writers can wait.
+    """A connection with flow control for reading and writing.
 
     Attributes
     ----------
     transport : asyncio.Transport or None
     closed : bool
-        Whether nothing more comes or goes.
+        Whether the connection is closed.
     read_pauses : set
-        Those for whose sake it is not read now.
+        Objects that have paused reading and not resumed it.
     """
 
     def __init__(self):
@@ -25,23 +25,23 @@
         self.write_waiter = None
 
     def connection_made(self, transport):
-        """Take the transport."""
+        """Store the transport."""
         self.transport = transport
 
     def connection_lost(self, error):
-        """Wake whoever waits to write."""
+        """Wake the waiting writer."""
         self.closed = True
         self.read_pauses.clear()
         self.resume_writing()
 
     def pause_reading(self, requester):
-        """Stop reading until the same requester lets go."""
+        """Stop reading until the same requester calls `resume_reading`."""
         if not self.read_pauses and not self.closed:
             self.transport.pause_reading()
         self.read_pauses.add(requester)
 
     def resume_reading(self, requester):
-        """Go on reading unless somebody else holds."""
+        """Resume reading unless another requester has paused it."""
         if requester not in self.read_pauses:
             return
         self.read_pauses.discard(requester)
@@ -49,22 +49,22 @@
             self.transport.resume_reading()
 
     def pause_writing(self):
-        """Note that the peer reads slowly."""
+        """Make writers wait: the write buffer is full."""
         self.write_paused = True
 
     def resume_writing(self):
-        """Let writers go on."""
+        """Wake the waiting writer: the write buffer has room."""
         self.write_paused = False
         if self.write_waiter is not None and not self.write_waiter.done():
             self.write_waiter.set_result(None)
 
     async def drain(self):
-        """Wait until there is room to write.
+        """Wait until the write buffer has room.
 
         Raises
         ------
         ConnectionResetError
-            When the connection has ended.
+            When the connection is closed.
         """
         while self.write_paused and not self.closed:
             self.write_waiter = asyncio.get_running_loop().create_future()
@@ -73,11 +73,11 @@
             raise ConnectionResetError("the connection has ended")
 
     def reset(self):
-        """Break the connection so that its end can't be taken for regular.
+        """Close the connection with a TCP reset.
 
-        Closing in order ends a body without a length: an HTTP/1.0 client
-        would take half an answer for whole. A reset can't be mistaken; it is
-        what a socket sends that is closed with a linger time of 0.
+        An orderly close ends a body without a declared length, so an HTTP/1.0
+        client would accept a truncated answer as complete. A reset is always
+        an error. A linger time of 0 makes the socket send one.
         """
         if self.closed:
             return
@@ -88,13 +88,13 @@
 
 
 class BodyWriter:
-    """Writes the parts of a streamed body as fast as the peer takes them.
+    """Writes a streamed body as fast as the peer reads it.
 
     Parameters
     ----------
     connection : HttpConnection
     chunked : bool
-        Whether each part is framed as a chunk (RFC 9112, section 7.1).
+        Whether to use the chunked transfer coding (RFC 9112, section 7.1).
     """
 
     __slots__ = ("chunked", "connection")
@@ -104,7 +104,7 @@
         self.chunked = chunked
 
     async def write(self, part):
-        """Write one part; an empty one would end a chunked body."""
+        """Write one part; skip empty ones, which would end a chunked body."""
         if not part:
             return
         if self.chunked:
--- a/packages/papayabay-core/src/papayabay_core/http/heads.py
+++ b/packages/papayabay-core/src/papayabay_core/http/heads.py
@@ -1,4 +1,4 @@
-"""The head of a message while a parser reports it piece by piece."""
+"""Heads of HTTP messages, collected from the callbacks of a parser."""
 
 from functools import cached_property
 
@@ -13,9 +13,9 @@
     Parameters
     ----------
     target : bytes
-        Of a request.
+        Request target; empty for an answer.
     fields : list of (bytes, bytes)
-        As they came.
+        Names and values in their original order and spelling.
     """
 
     def __init__(self, fields, target=b""):
@@ -24,18 +24,18 @@
 
     @cached_property
     def first(self):
-        """First value of each field, by lower-case name."""
+        """The first value of each field, by lower-case name."""
         return {name.lower(): value for name, value in reversed(self.fields)}
 
     @property
     def length(self):
-        """The length that is said of the body, or None."""
+        """The declared length of the body, or None."""
         value = self.first.get(CONTENT_LENGTH)
         return None if value is None else int(value)
 
     @property
     def is_framed(self):
-        """Whether it says where the body ends."""
+        """Whether the head determines where the body ends."""
         return CONTENT_LENGTH in self.first or TRANSFER_ENCODING in self.first
 
     @property
@@ -45,16 +45,16 @@
 
 
 class HeaderCollector:
-    """The part of a parser's protocol that collects header fields.
+    """Mixin with the parser callbacks that collect header fields.
 
     Attributes
     ----------
     fields : list of (bytes, bytes)
-        Of the head, or the trailer, that is being read.
+        Fields of the current head or trailer.
     in_head : bool
-        Whether a head has begun and not ended.
+        Whether a head is being parsed.
     head_bytes : int
-        Bytes of segments that lie wholly within the head.
+        Bytes of received segments that contain nothing but the head.
     """
 
     fields = ()
@@ -62,25 +62,25 @@
     head_bytes = 0
 
     def on_message_begin(self):
-        """Begin a head."""
+        """Start a head."""
         self.fields = []
         self.in_head = True
         self.head_bytes = 0
 
     def on_header(self, name, value):
-        """Take in a field; called for each, so that it does no more.
+        """Add a field. Called for each field, so it does nothing else.
 
         Raises
         ------
         ValueError
-            For more fields than a message may have.
+            When the message has more than `MAX_HEADER_FIELDS`.
         """
         self.fields.append((name, value))
         if len(self.fields) > MAX_HEADER_FIELDS:
             raise ValueError("too many header fields")
 
     def end_head(self):
-        """Return the fields of the head; what follows are trailers."""
+        """Return the fields of the head; later fields are trailers."""
         fields, self.fields = self.fields, []
         self.in_head = False
         return fields
--- a/packages/papayabay-core/src/papayabay_core/http/payload.py
+++ b/packages/papayabay-core/src/papayabay_core/http/payload.py
@@ -1,33 +1,39 @@
-"""A message's body on its way from the connection to its reader."""
+"""Buffer for the body of a message between connection and reader."""
 
 import asyncio
 from collections import deque
 
 MAX_BUFFERED_BYTES = 131_072
-"""Unread bytes at which the connection is no longer read: two parts of a
-streamed body, so that one is at hand while the other is on its way."""
+"""Unread bytes beyond which reading from the connection is paused. Two parts
+of a streamed body: one can be processed while the next is received."""
 
 
 class IncompletePayload(ConnectionError):
-    """A body that ended before its end."""
+    """The connection failed before the body was complete.
+
+    Name and message are a part of the detail of TARGET_LOST, which callers
+    see.
+    """
 
 
 class Payload:
-    """What has arrived of a body and was not read yet.
+    """The received and unread part of a body.
 
     Parameters
     ----------
     connection : HttpConnection
-        Is not read while too much waits here.
+        Paused while more than `MAX_BUFFERED_BYTES` are unread.
 
     Attributes
     ----------
     complete : bool
-        Whether the whole body has arrived.
-    fault : Exception or None
-        Why it never will.
+        Whether the whole body has been received.
+    error : Exception or None
+        Why the body will never be complete.
+    buffered_bytes : int
+        Unread bytes.
     received_bytes : int
-        Bytes that have arrived, those already read too.
+        All bytes received, read or unread.
     """
 
     __slots__ = (
@@ -35,7 +41,7 @@
         "chunks",
         "complete",
         "connection",
-        "fault",
+        "error",
         "received_bytes",
         "waiter",
     )
@@ -46,16 +52,16 @@
         self.buffered_bytes = 0
         self.received_bytes = 0
         self.complete = False
-        self.fault = None
+        self.error = None
         self.waiter = None
 
     @property
     def fully_read(self):
-        """Whether all of a whole body was read."""
+        """Whether the body is complete and all of it was read."""
         return self.complete and not self.chunks
 
     def feed(self, data):
-        """Take in bytes."""
+        """Add received bytes."""
         self.chunks.append(data)
         self.buffered_bytes += len(data)
         self.received_bytes += len(data)
@@ -65,21 +71,21 @@
             self.wake()
 
     def finish(self):
-        """Note that the body is whole."""
+        """Mark the body as complete."""
         self.complete = True
         if self.waiter is not None:
             self.wake()
 
     def fail(self, error):
-        """End a body short; its reader gets the error."""
-        if self.complete or self.fault is not None:
+        """Raise an error in the reader unless the body is complete."""
+        if self.complete or self.error is not None:
             return
-        self.fault = error
+        self.error = error
         if self.waiter is not None:
             self.wake()
 
     def wake(self):
-        """Let the reader look again."""
+        """Wake the waiting reader."""
         if not self.waiter.done():
             self.waiter.set_result(None)
 
@@ -89,11 +95,11 @@
         Raises
         ------
         Exception
-            The fault that ended the body short.
+            The error passed to `fail`.
         """
         while not self.chunks:
-            if self.fault is not None:
-                raise self.fault
+            if self.error is not None:
+                raise self.error
             if self.complete:
                 return b""
             self.waiter = asyncio.get_running_loop().create_future()
@@ -101,18 +107,18 @@
         return self.read_nowait(limit)
 
     def read_nowait(self, limit):
-        """Return the first bytes at hand, at limit so many."""
-        part = self.chunks.popleft()
-        if len(part) > limit:
-            self.chunks.appendleft(part[limit:])
-            part = part[:limit]
-        self.buffered_bytes -= len(part)
+        """Return buffered bytes, at most `limit`."""
+        chunk = self.chunks.popleft()
+        if len(chunk) > limit:
+            self.chunks.appendleft(chunk[limit:])
+            chunk = chunk[:limit]
+        self.buffered_bytes -= len(chunk)
         if self.buffered_bytes <= MAX_BUFFERED_BYTES:
             self.connection.resume_reading(self)
-        return part
+        return chunk
 
     def read_all_nowait(self):
-        """Return all bytes at hand."""
+        """Return all buffered bytes."""
         data = self.chunks[0] if len(self.chunks) == 1 else b"".join(self.chunks)
         self.chunks.clear()
         self.buffered_bytes = 0
--- a/packages/papayabay-core/src/papayabay_core/http/requester.py
+++ b/packages/papayabay-core/src/papayabay_core/http/requester.py
@@ -1,4 +1,4 @@
-"""Requests to services beside the calls that are passed on."""
+"""HTTP requests of the daemon itself, as opposed to forwarded calls."""
 
 import asyncio
 import socket
@@ -10,20 +10,21 @@
 from papayabay_core.utils.clock import now
 
 IDLE_SECONDS = 15.0
-"""How long an idle connection is kept; servers close theirs after 30 s and
-more, and a request that crosses the closing is lost."""
+"""How long an idle connection is kept. Servers close idle connections after
+30 s or more, and a request sent at that moment is lost."""
 CHUNK_BYTES = 65_536
 HTTP_PORT = 80
 BODILESS = frozenset({"GET", "HEAD", "DELETE"})
+"""Methods whose requests need no Content-Length when they have no body."""
 
 
 class NotSent(ConnectionError):
-    """No connection could be made, so that nothing was sent."""
+    """No connection could be established, so nothing was sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer with its whole body.
+    """An answer with its complete body.
 
     Attributes
     ----------
@@ -39,25 +40,25 @@
 
 
 def plain_socket(address_info):
-    """Return a socket for an address that was looked up."""
+    """Return a socket for an address returned by `getaddrinfo`."""
     family, kind, protocol, _, _ = address_info
     return socket.socket(family, kind, protocol)
 
 
 class Requester:
-    """Sends requests, and keeps connections for further ones.
+    """HTTP client with connection reuse.
 
-    Used towards the target and the platform's services, in place of a client
-    library whose memory and start-up time each process would pay for.
+    Used for health checks of the target and for the platform's services. A
+    client library would add to the memory and start-up time of each process.
 
     Parameters
     ----------
     connect_seconds : float
-        Longest wait for a connection.
+        Timeout for establishing a connection.
     max_bytes : int
-        Longest body of an answer.
+        Largest accepted body of an answer.
     make_socket : callable
-        Takes an address as `socket.getaddrinfo` gives it.
+        Returns a socket for an address as returned by `getaddrinfo`.
     """
 
     def __init__(self, connect_seconds, max_bytes, make_socket=plain_socket):
@@ -75,23 +76,24 @@
         ----------
         method, url : str
         content : bytes
-            JSON.
+            JSON body; empty for none.
         query : dict of str to str or None
 
         Raises
         ------
         NotSent
+            When no connection could be established.
         ConnectionError
-            The connection ended before the whole answer had come.
+            When the connection failed before the answer was complete.
         ValueError
-            The answer is longer than `max_bytes`.
+            When the body of the answer exceeds `max_bytes`.
         """
-        place = urlsplit(url)
-        key = (place.hostname, place.port or HTTP_PORT)
+        split_url = urlsplit(url)
+        key = (split_url.hostname, split_url.port or HTTP_PORT)
         connection = self.take_idle(key) or await self.connect(*key)
         connection.start_request(bodiless=method == "HEAD")
         try:
-            connection.transport.write(request_head(method, place, content, query))
+            connection.transport.write(request_head(method, split_url, content, query))
             connection.transport.write(content)
             message = await connection.receive()
             reply = await self.read(message)
@@ -102,7 +104,7 @@
         return reply
 
     async def read(self, message):
-        """Return an answer with its whole body."""
+        """Return the `Reply` of an answer once its body is complete."""
         content = bytearray()
         while part := await message.payload.read(CHUNK_BYTES):
             content += part
@@ -111,7 +113,7 @@
         return Reply(message.status, bytes(content), message.head.first)
 
     def take_idle(self, key):
-        """Return a connection that is kept for a host and port, or None."""
+        """Return an idle connection to a host and port, or None."""
         idle = self.idle.get(key, ())
         while idle:
             connection = idle.pop()
@@ -121,7 +123,7 @@
         return None
 
     def give_back(self, key, connection):
-        """Keep a connection whose answer was read to its end."""
+        """Keep a connection for reuse after its answer was read."""
         connection.busy = False
         if not connection.reusable:
             connection.abort()
@@ -140,17 +142,17 @@
         return connection
 
     async def dial(self, host, port):
-        """Return a connection to the first address that takes one."""
-        found = await asyncio.get_running_loop().getaddrinfo(
+        """Return a connection to the first address that accepts one."""
+        addresses = await asyncio.get_running_loop().getaddrinfo(
             host, port, type=socket.SOCK_STREAM, proto=socket.IPPROTO_TCP
         )
-        faults = []
-        for address_info in found:
+        errors = []
+        for address_info in addresses:
             try:
                 return await self.dial_address(address_info)
             except OSError as error:
-                faults.append(error)
-        raise faults[-1]
+                errors.append(error)
+        raise errors[-1]
 
     async def dial_address(self, address_info):
         """Return a connection to one address."""
@@ -168,27 +170,27 @@
         return connection
 
     def close(self):
-        """Close all connections, those in use too."""
+        """Close all connections, including those in use."""
         for connection in list(self.open):
             connection.abort()
         self.idle.clear()
 
 
-def request_head(method, place, content, query):
+def request_head(method, split_url, content, query):
     """Return the request line and header fields as bytes.
 
     Parameters
     ----------
     method : str
-    place : urllib.parse.SplitResult
+    split_url : urllib.parse.SplitResult
     content : bytes
     query : dict of str to str or None
     """
-    path = place.path or "/"
-    query_text = urlencode(query) if query else place.query
+    path = split_url.path or "/"
+    query_text = urlencode(query) if query else split_url.query
     if query_text:
         path = f"{path}?{query_text}"
-    lines = [f"{method} {path} HTTP/1.1", f"Host: {place.netloc}"]
+    lines = [f"{method} {path} HTTP/1.1", f"Host: {split_url.netloc}"]
     if content:
         lines.append("Content-Type: application/json")
     if content or method not in BODILESS:
--- a/packages/papayabay-core/src/papayabay_core/wire/schema.capnp
+++ b/packages/papayabay-core/src/papayabay_core/wire/schema.capnp
@@ -28,7 +28,7 @@
 }
 
 struct Request {
-  # A control question to a peer, answered by a Reply with the same id.
+  # A control request to a peer, answered by a Reply with the same id.
   id @0 :UInt64;
   topic @1 :Text;
   payload @2 :Data;
