--- a/packages/papayabay-core/src/papayabay_core/http/client.py
+++ b/packages/papayabay-core/src/papayabay_core/http/client.py
@@ -7,7 +7,7 @@
 
 from papayabay_core.http.connection import HttpConnection
 from papayabay_core.http.heads import Head, HeaderCollector
-from papayabay_core.http.payload import IncompletePayload, Payload
+from papayabay_core.http.payload import Payload, PayloadBroken
 
 FIRST_FINAL_STATUS = 200
 """Lower statuses are interim answers (1xx)."""
@@ -109,7 +109,7 @@
         message = self.message
         if message is not None and error is None and not message.head.is_framed:
             self.complete(message)
-        self.fail(IncompletePayload(f"the connection ended: {error!r}"))
+        self.fail(PayloadBroken(f"the connection ended: {error!r}"))
         self.parser = None
         self.on_lost(self)
 
@@ -180,7 +180,7 @@
     def abort_with(self, detail):
         """Close the connection because of invalid input."""
         self.unusable = True
-        self.fail(IncompletePayload(detail))
+        self.fail(PayloadBroken(detail))
         self.transport.abort()
 
     def fail(self, error):
--- a/packages/papayabay-core/src/papayabay_core/http/payload.py
+++ b/packages/papayabay-core/src/papayabay_core/http/payload.py
@@ -8,7 +8,7 @@
 of a streamed body: one can be processed while the next is received."""
 
 
-class IncompletePayload(ConnectionError):
+class PayloadBroken(ConnectionError):
     """The connection failed before the body was complete.
 
     Name and message are a part of the detail of TARGET_LOST, which callers
