--- a/packages/papayabay-core/src/papayabay_core/platform/__init__.py
+++ b/packages/papayabay-core/src/papayabay_core/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's table service and object store, as papayabay uses them."""
+"""Clients of the platform's table service and object store."""
 
 from papayabay_core.platform.era import StoreEra
 from papayabay_core.platform.object_client import HttpObjectStore
--- a/packages/papayabay-core/src/papayabay_core/platform/era.py
+++ b/packages/papayabay-core/src/papayabay_core/platform/era.py
@@ -1,4 +1,4 @@
-"""Eras of a store that can come back from an older copy of itself."""
+"""Eras of a store that may be restored from a backup."""
 
 import logbook
 
@@ -10,18 +10,20 @@
 class StoreEra:
     """The era of a store, as observed in its answers.
 
-    A store that was restored from an older copy has lost later writes, and
-    reuses their versions. It then reports an era one higher: conditions on
-    earlier reads no longer hold, and earlier writes may be lost.
+    A store that is restored from a backup has lost the writes since then and
+    reuses their versions. It reports this by incrementing its era: earlier
+    writes may be lost, and versions read before must not be used in
+    conditions.
 
     Attributes
     ----------
     current : int or None
-        None until one is observed; some stores report none.
+        None until an era is observed; some stores report none.
     listeners : list of callable
-        Called, without arguments, before the first answer of a new era is
+        Called without arguments before the first answer of a new era is
         used.
     changes : int
+        Number of restores observed.
     """
 
     def __init__(self):
@@ -30,12 +32,12 @@
         self.changes = 0
 
     def observe(self, era):
-        """Observe the era of an answer.
+        """Process the era of an answer; call listeners if it is a new one.
 
         Raises
         ------
         PlatformError
-            For a delayed answer of an earlier era, which is outdated.
+            When the answer is a delayed one of an earlier era.
         """
         if era is None or era == self.current:
             return
@@ -43,7 +45,9 @@
             self.current = era
             return
         if era < self.current:
-            raise PlatformError(f"an answer of era {era}, now it is {self.current}")
+            raise PlatformError(
+                f"stale answer of era {era}, current era {self.current}"
+            )
         log.warning(
             "the store has come back from an older copy: era {} after {}",
             era,
--- a/packages/papayabay-core/src/papayabay_core/platform/object_client.py
+++ b/packages/papayabay-core/src/papayabay_core/platform/object_client.py
@@ -3,14 +3,14 @@
 from urllib.parse import quote
 
 from papayabay_core.exceptions import PlatformAmbiguous, PlatformError
-from papayabay_core.platform.transport import PlatformTransport, refuse_status
+from papayabay_core.platform.transport import PlatformTransport, raise_for_status
 
 NOT_FOUND = 404
 REMOVED = (200, 202, 204, NOT_FOUND)
 
 
 class HttpObjectStore:
-    """The object store over HTTP; see `ObjectStore` for the contract.
+    """`ObjectStore` over HTTP.
 
     Parameters
     ----------
@@ -22,7 +22,7 @@
         self.transport = PlatformTransport(settings)
 
     async def get(self, name):
-        """Return an object's content, or None.
+        """Return the content of an object, or None if it does not exist.
 
         Raises
         ------
@@ -32,41 +32,42 @@
         reply = await self.transport.read(url)
         if reply.status == NOT_FOUND:
             return None
-        refuse_status(url, reply)
+        raise_for_status(url, reply)
         return reply.content
 
     async def put(self, name, content):
-        """Store an object whole, replacing an older one.
+        """Store an object, replacing an existing one.
 
         Raises
         ------
         PlatformAmbiguous
-            It may or may not have been stored, or stored in part. Putting
-            it again is safe.
+            The object may or may not have been stored, or only a part of it.
+            Repeating the put is safe.
         """
         url = self.url_of(name)
         try:
             reply = await self.transport.write("PUT", url, content)
-            refuse_status(url, reply)
+            raise_for_status(url, reply)
         except PlatformError as error:
-            # A broken PUT is sent once more, as it is idempotent.
-            # The first may have been applied and only the second refused, so
-            # that no failure proves that nothing was stored.
+            # The transport retries a PUT once if the connection fails. The
+            # first attempt may have been applied although the second was
+            # refused, so no failure proves that nothing was stored.
             raise PlatformAmbiguous(str(error)) from None
 
     async def delete(self, name):
-        """Remove an object; one that is not there is no error.
+        """Delete an object; a missing one is not an error.
 
         Raises
         ------
         PlatformAmbiguous
-            It may or may not be removed. Removing it again is safe.
+            The object may or may not have been deleted. Repeating the delete
+            is safe.
         """
         url = self.url_of(name)
         try:
             reply = await self.transport.write("DELETE", url)
             if reply.status not in REMOVED:
-                refuse_status(url, reply)
+                raise_for_status(url, reply)
         except PlatformError as error:
             raise PlatformAmbiguous(str(error)) from None
 
@@ -75,5 +76,5 @@
         return f"{self.base}/{quote(name)}"
 
     async def close(self):
-        """Close connections that belong to this client."""
+        """Close all connections."""
         await self.transport.close()
--- a/packages/papayabay-core/src/papayabay_core/platform/protocols.py
+++ b/packages/papayabay-core/src/papayabay_core/platform/protocols.py
@@ -1,4 +1,4 @@
-"""What papayabay asks of the platform's storage."""
+"""Interfaces to the platform's storage."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -17,8 +17,8 @@
     value : dict
         Plain JSON values.
     revision : int
-        Grows with each write of this row, also when the store came back from
-        an older copy in between; above 0.
+        Positive; increases with each write of the row, also across a restore
+        of the store from a backup.
     """
 
     key: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """One conditional write of a transaction.
+    """One write of a transaction, with an optional condition.
 
     Attributes
     ----------
@@ -36,8 +36,8 @@
     value : dict or None
         None deletes the row.
     expected : int or None
-        Revision that the row must have; 0 when it must not exist; None
-        writes without a condition.
+        Revision that the row must have; 0 if it must not exist; None for no
+        condition.
     """
 
     key: str
@@ -48,35 +48,35 @@
 class TableService(Protocol):
     """Rows with conditional, transactional writes.
 
-    Every method raises `PlatformError` when it certainly had no effect,
-    and `PlatformAmbiguous` when a write may or may not have been applied.
+    All methods raise `PlatformError` if the request certainly had no effect,
+    and `PlatformAmbiguous` if a write may or may not have been applied.
 
     Attributes
     ----------
     era : StoreEra
-        Never changes where the store can't come back from an older copy.
+        Era of the store; never changes for a store without eras.
     """
 
     era: StoreEra
 
     async def get(self, key: str) -> Row | None:
-        """Return a row, or None."""
+        """Return a row, or None if it does not exist."""
 
     async def scan(self, prefix: str, after: str = "", limit: int = 100) -> list[Row]:
-        """Return rows of a key prefix in key order, those after a key."""
+        """Return rows with a key prefix, after a key, in key order."""
 
     async def write(self, puts: list[Put]) -> None:
-        """Apply all writes or none; `ConditionFailed` when one can't be."""
+        """Apply all writes or none; `ConditionFailed` if a condition fails."""
 
 
 class ObjectStore(Protocol):
-    """Whole objects by name."""
+    """Objects by name, read and written as a whole."""
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object's content, or None."""
+        """Return the content of an object, or None if it does not exist."""
 
     async def put(self, name: str, content: bytes) -> None:
-        """Store an object whole, replacing an older one."""
+        """Store an object, replacing an existing one."""
 
     async def delete(self, name: str) -> None:
-        """Remove an object; one that is not there is no error."""
+        """Delete an object; a missing one is not an error."""
--- a/packages/papayabay-core/src/papayabay_core/platform/table_client.py
+++ b/packages/papayabay-core/src/papayabay_core/platform/table_client.py
@@ -4,13 +4,13 @@
 
 from papayabay_core.exceptions import ConditionFailed, PlatformError
 from papayabay_core.platform.protocols import Row
-from papayabay_core.platform.transport import PlatformTransport, refuse_status
+from papayabay_core.platform.transport import PlatformTransport, raise_for_status
 
 CONDITION_FAILED = 412
 
 
 class HttpTableService:
-    """The table service over HTTP; see `TableService` for the contract.
+    """`TableService` over HTTP.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
         self.era = self.transport.era
 
     async def get(self, key):
-        """Return a row, or None.
+        """Return a row, or None if it does not exist.
 
         Raises
         ------
@@ -37,7 +37,7 @@
         return None if row is None else decode_row(row, self.row_url)
 
     async def scan(self, prefix, after="", limit=100):
-        """Return up to `limit` rows of a prefix, those after a key.
+        """Return up to `limit` rows with a key prefix, after a key.
 
         Raises
         ------
@@ -56,30 +56,30 @@
         Raises
         ------
         ConditionFailed
-            A row did not have the revision that was expected.
+            When a row does not have the expected revision.
         PlatformAmbiguous
-            The writes may or may not have been applied.
+            When the writes may or may not have been applied.
         PlatformError
-            Certainly not applied.
+            When they were certainly not applied.
         """
         body = {"puts": [encode_put(put) for put in puts]}
         url = self.transaction_url
         reply = await self.transport.write("POST", url, json.dumps(body).encode())
         if reply.status == CONDITION_FAILED:
-            raise ConditionFailed(f"{url}: a row has another revision")
-        refuse_status(url, reply)
+            raise ConditionFailed(f"{url}: a row does not have the expected revision")
+        raise_for_status(url, reply)
 
     async def fetch(self, url, query):
-        """Return the JSON value that a GET is answered with."""
+        """Send a GET request and return the JSON value of the answer."""
         reply = await self.transport.read(url, query)
-        refuse_status(url, reply)
+        raise_for_status(url, reply)
         try:
             return json.loads(reply.content)
         except (ValueError, RecursionError):
             raise PlatformError(f"{url}: the answer is not JSON") from None
 
     async def close(self):
-        """Close connections that belong to this client."""
+        """Close all connections."""
         await self.transport.close()
 
 
@@ -89,7 +89,7 @@
 
 
 def member_of(value, name, url):
-    """Return a member of an answer, which has to be an object with it."""
+    """Return a member of a JSON object; `PlatformError` if it is missing."""
     if not isinstance(value, dict) or name not in value:
         raise PlatformError(f"{url}: the answer has no '{name}'")
     return value[name]
@@ -101,17 +101,17 @@
     Raises
     ------
     PlatformError
-        When a member is missing or has another type.
+        When a member is missing or has the wrong type.
     """
     key, content, revision = (
         member_of(value, name, url) for name in ("key", "value", "revision")
     )
-    well_typed = (
+    is_valid = (
         isinstance(key, str)
         and isinstance(content, dict)
         and type(revision) is int
         and revision > 0
     )
-    if not well_typed:
+    if not is_valid:
         raise PlatformError(f"{url}: a row is malformed")
     return Row(key, content, revision)
--- a/packages/papayabay-core/src/papayabay_core/platform/transport.py
+++ b/packages/papayabay-core/src/papayabay_core/platform/transport.py
@@ -1,4 +1,7 @@
-"""One HTTP exchange with the platform, its failures put in two classes."""
+"""HTTP requests to the platform, with failed writes classified.
+
+A failed write was either certainly not applied, or may have been applied.
+"""
 
 import asyncio
 import socket
@@ -9,30 +12,32 @@
 from papayabay_core.platform.era import StoreEra
 
 CONNECTIONS = 32
-"""Requests under way at once; the platform's services take some hundreds of
+"""Concurrent requests. The platform's services accept some hundreds of
 connections from all processes together."""
 CONNECT_SHARE = 0.5
-"""Of a request's time, for making its connection; the rest is the answer's."""
+"""Share of a request's timeout for establishing a connection."""
 IDEMPOTENT = frozenset({"GET", "PUT", "DELETE"})
 MAX_RESPONSE_BYTES = 32 * 1024 * 1024
 NOT_APPLIED = frozenset({429, 503})
+"""Statuses with which the platform refuses a write without applying it."""
 KEEPALIVE_SECONDS = 1
 KEEPALIVE_PROBES = 2
-"""A silent connection ends within 3 s: as long as a version may be missed
-after all connections have broken. A probe is a packet of 40 bytes a second,
-and no call that the platform counts."""
+"""TCP keepalive closes a dead connection within 3 s, the longest time for
+which a daemon may miss a new version after its connections have failed. A
+probe is a packet of 40 bytes and does not count as a request to the
+platform."""
 
 
 class PlatformTransport:
-    """Connections to the platform's services, kept for further requests.
+    """Sends requests to the platform's services over persistent connections.
 
     Parameters
     ----------
     settings : PlatformSettings
     era : StoreEra or None
-        Of the store; None for one without eras.
+        Era of the store; None for a store without eras.
     era_of : callable or None
-        Takes a `Reply`; returns its era, or None.
+        Returns the era of a `Reply`, or None.
     """
 
     def __init__(self, settings, era=None, era_of=None):
@@ -43,11 +48,13 @@
         self.requester = Requester(
             connect_seconds=self.timeout * CONNECT_SHARE,
             max_bytes=MAX_RESPONSE_BYTES,
-            make_socket=watched_socket,
+            make_socket=keepalive_socket,
         )
 
     async def read(self, url, query=None):
-        """Return the `Reply` to a GET; every failure is a `PlatformError`.
+        """Send a GET request and return its `Reply`.
+
+        All failures are raised as `PlatformError`.
 
         Parameters
         ----------
@@ -58,16 +65,16 @@
             reply = await self.exchange("GET", url, query=query)
         except (OSError, TimeoutError, ValueError) as error:
             raise PlatformError(f"{url}: {describe(error)}") from None
-        self.note_era(reply)
+        self.observe_era(reply)
         return reply
 
-    def note_era(self, reply):
-        """Note an answer's era before anything of it is used."""
+    def observe_era(self, reply):
+        """Process the era of an answer before the answer is used."""
         if self.era_of is not None:
             self.era.observe(self.era_of(reply))
 
     async def write(self, method, url, content=b""):
-        """Return the `Reply` to a write that the platform has decided on.
+        """Send a write and return its `Reply`, whatever the status.
 
         Parameters
         ----------
@@ -77,47 +84,50 @@
         Raises
         ------
         PlatformError
-            Certainly not applied.
+            When the write was certainly not applied.
         PlatformAmbiguous
-            Sent, and nobody knows what became of it.
+            When the write may or may not have been applied.
         """
-        sent_in = self.era.current
+        era_before = self.era.current
         try:
             reply = await self.exchange(method, url, content)
         except NotSent as error:
             raise PlatformError(f"{url}: {error}") from None
         except (OSError, TimeoutError, ValueError) as error:
-            # The request may have reached the platform before the timeout
-            # or the break. Reported as a plain failure, the writer would
-            # repeat a write that did take effect.
+            # The platform may have applied the write before the timeout or
+            # the connection error. After a plain failure, the caller would
+            # repeat a write that took effect.
             raise PlatformAmbiguous(f"{url}: {describe(error)}") from None
         if reply.status >= SERVER_ERROR and reply.status not in NOT_APPLIED:
-            raise PlatformAmbiguous(f"{url}: answered {reply.status}")
-        self.note_written(url, reply, sent_in)
+            raise PlatformAmbiguous(f"{url}: HTTP status {reply.status}")
+        self.observe_write_era(url, reply, era_before)
         return reply
 
-    def note_written(self, url, reply, sent_in):
-        """Note the era of a write's answer.
+    def observe_write_era(self, url, reply, era_before):
+        """Process the era of the answer to a write.
 
         Raises
         ------
         PlatformAmbiguous
-            The store came back from an older copy while the write was on its
-            way: it may be among what was lost, or its conditions have held
-            for what they were not meant for.
+            When the store was restored from a backup during the write: the
+            write may be lost, or its conditions were checked against rows
+            that the caller has not read.
         """
         try:
-            self.note_era(reply)
+            self.observe_era(reply)
         except PlatformError as error:
             raise PlatformAmbiguous(f"{url}: {error}") from None
-        if sent_in is not None and self.era.current != sent_in:
-            raise PlatformAmbiguous(f"{url}: the store's era has changed")
+        if era_before is not None and self.era.current != era_before:
+            raise PlatformAmbiguous(
+                f"{url}: the store's era has changed from {era_before} to "
+                f"{self.era.current}"
+            )
 
     async def exchange(self, method, url, content=b"", query=None):
         """Send one request and return its `Reply`.
 
-        An idempotent one is sent once more when its connection ends without
-        an answer: the platform may have closed it while it was idle.
+        An idempotent request is retried once if its connection fails without
+        an answer: the platform may have closed an idle connection.
         """
         async with asyncio.timeout(self.timeout), self.slots:
             try:
@@ -134,12 +144,12 @@
         self.requester.close()
 
 
-def watched_socket(address_info):
-    """Return a socket whose connection ends when its other end is silent.
+def keepalive_socket(address_info):
+    """Return a socket with TCP keepalive, which detects dead connections.
 
-    Something between may lose track of an open connection, or the platform
-    be cut off. A question that waits for changes would then wait for its
-    whole time, and a new version be missed meanwhile; new connections work.
+    A middlebox may drop the state of an open connection, or the platform may
+    become unreachable. A long poll for changes would then wait for its full
+    timeout and miss a new version, although new connections would work.
     """
     family, kind, protocol, _, _ = address_info
     sock = socket.socket(family, kind, protocol)
@@ -147,17 +157,17 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    silence_ms = KEEPALIVE_SECONDS * (KEEPALIVE_PROBES + 1) * 1_000
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silence_ms)
+    timeout_ms = KEEPALIVE_SECONDS * (KEEPALIVE_PROBES + 1) * 1_000
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
     return sock
 
 
 def describe(error):
-    """Return an error in one line; a timeout has no text of its own."""
+    """Return the text of an error, or its type if it has none."""
     return str(error) or type(error).__name__
 
 
-def refuse_status(url, reply):
+def raise_for_status(url, reply):
     """Raise `PlatformError` for any status but 200."""
     if reply.status != 200:
-        raise PlatformError(f"{url}: answered {reply.status}")
+        raise PlatformError(f"{url}: HTTP status {reply.status}")
--- a/tests/unit/core/test_platform_clients.py
+++ b/tests/unit/core/test_platform_clients.py
@@ -1,4 +1,4 @@
-"""The platform clients against the stand-in."""
+"""Tests of the platform clients against the simulated platform."""
 
 import socket
 import unittest
@@ -11,18 +11,18 @@
     PlatformError,
 )
 from papayabay_core.platform import HttpObjectStore, HttpTableService, Put
-from papayabay_core.platform.transport import MAX_RESPONSE_BYTES, watched_socket
+from papayabay_core.platform.transport import MAX_RESPONSE_BYTES, keepalive_socket
 
 
-class WatchedSocketTest(unittest.TestCase):
-    def test_a_silent_connection_ends(self):
-        """A version was missed for the length of an open question.
+class KeepaliveSocketTest(unittest.TestCase):
+    def test_dead_connection_is_detected(self):
+        """Guards against a new version missed during a whole long poll.
 
-        The connection on which the store would tell of it had gone silent;
-        nothing is sent on it meanwhile, so that nobody notices.
+        The client sends nothing while it waits for changes, so without
+        keepalive it does not detect that its connection is dead.
         """
-        found = (socket.AF_INET, socket.SOCK_STREAM, 0, "", ())
-        with watched_socket(found) as sock:
+        address_info = (socket.AF_INET, socket.SOCK_STREAM, 0, "", ())
+        with keepalive_socket(address_info) as sock:
             for level, option in (
                 (socket.SOL_SOCKET, socket.SO_KEEPALIVE),
                 (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT),
@@ -62,7 +62,7 @@
         self.assertEqual((row.value, row.revision), ({"n": 3}, 2))
         self.assertIsNone(await self.table.get("a/2"))
 
-    async def test_scan_pages_through_one_prefix(self):
+    async def test_scan_returns_a_prefix_in_pages(self):
         await self.table.write([Put(f"a/{n}", {"n": n}) for n in range(5)])
         await self.table.write([Put("b/1", {}), Put("A/1", {})])
         first = await self.table.scan("a/", limit=2)
@@ -75,12 +75,11 @@
         self.assertIsNone(await self.table.get("a/1"))
         self.assertEqual(await self.table.scan("a/"), [])
 
-    async def test_answer_lost_after_apply_is_ambiguous(self):
-        """
-        Symptom: a write fails, and yet its row is there.
+    async def test_lost_answer_of_an_applied_write_is_ambiguous(self):
+        """Guards against repeating a write that took effect.
 
-        Sequence: the platform applies it, then the connection breaks.
-        Cause: reported as a plain failure, the writer would repeat it.
+        The platform applies the write, then the connection fails. After a
+        plain failure, the caller would repeat the write.
         """
         self.fail_with(lost_answer=1.0)
         with self.assertRaises(PlatformAmbiguous):
@@ -91,21 +90,21 @@
             await self.objects.put("o", b"x")
         self.assertEqual(await self.objects.get("o"), b"x")
 
-    async def test_refused_or_unreachable_is_certainly_not_applied(self):
+    async def test_refused_or_unsent_write_is_not_ambiguous(self):
         self.fail_with(down="unavailable")
         await self.assert_not_applied(self.table)
         settings = self.platform.settings()
         await self.platform.close()
-        fresh = HttpTableService(settings)
-        self.addAsyncCleanup(fresh.close)
-        await self.assert_not_applied(fresh)
+        unconnected = HttpTableService(settings)
+        self.addAsyncCleanup(unconnected.close)
+        await self.assert_not_applied(unconnected)
 
     async def assert_not_applied(self, table):
         with self.assertRaises(PlatformError) as raised:
             await table.write([Put("a/1", {}, 0)])
         self.assertNotIsInstance(raised.exception, PlatformAmbiguous)
 
-    async def test_broken_and_silent_connections(self):
+    async def test_reset_and_unanswered_connections(self):
         for down in ("close", "silent"):
             with self.subTest(down=down):
                 self.fail_with(down=down)
@@ -118,45 +117,42 @@
 
 
 class ObjectTest(PlatformCase):
-    async def test_objects_come_back_whole(self):
+    async def test_stored_objects_are_read_unchanged(self):
         self.assertIsNone(await self.objects.get("s/1 ü"))
         await self.objects.put("s/1 ü", b"\x00content")
         self.assertEqual(await self.objects.get("s/1 ü"), b"\x00content")
 
-    async def test_removed_objects_are_gone(self):
+    async def test_deleted_objects_do_not_exist(self):
         await self.objects.put("s/1 ü", b"x")
         for _ in range(2):
             await self.objects.delete("s/1 ü")
             self.assertIsNone(await self.objects.get("s/1 ü"))
         self.assertEqual(self.platform.stand_in.object_bytes, 0)
 
-    async def test_failed_removal_is_ambiguous(self):
+    async def test_failed_delete_is_ambiguous(self):
         await self.objects.put("o", b"x")
         self.fail_with(kind="object", down="unavailable")
         with self.assertRaises(PlatformAmbiguous):
             await self.objects.delete("o")
         self.assertIn("o", self.platform.stand_in.objects)
 
-    async def test_removal_that_the_library_repeats_has_worked(self):
-        """
-        Symptom: a removal that was applied is reported as failed.
+    async def test_delete_retried_by_the_transport_succeeds(self):
+        """Guards against reporting an applied delete as failed.
 
-        Sequence: its answer is lost, the HTTP library repeats it, and the
-        second finds nothing.
-        Cause: an object that is not there was taken for a failure.
+        Its answer is lost, the transport retries it, and the second attempt
+        does not find the object.
         """
         await self.objects.put("o", b"x")
         self.fail_with(kind="object", lost_answer=1.0)
         await self.objects.delete("o")
         self.assertNotIn("o", self.platform.stand_in.objects)
 
-    async def test_repeated_put_never_claims_that_nothing_was_stored(self):
-        """
-        Symptom: a put is reported as not applied, and the object is there.
+    async def test_put_retried_by_the_transport_stays_ambiguous(self):
+        """Guards against reporting an applied put as not applied.
 
-        Sequence: the put is applied, its connection breaks, the HTTP library
-        repeats it, and the second is refused.
-        Cause: only the last answer was looked at.
+        The put is applied, its connection fails, the transport retries it,
+        and the second attempt is refused. The last answer alone does not
+        determine the outcome.
         """
         stand_in = self.platform.stand_in
         lose = stand_in.lose
@@ -173,13 +169,13 @@
         self.assertEqual(stand_in.objects["o"], b"x")
         self.assertEqual(stand_in.counters.unavailable, 1)
 
-    async def test_torn_write_leaves_half(self):
+    async def test_interrupted_put_leaves_a_truncated_object(self):
         self.fail_with(kind="object", torn=1.0)
         with self.assertRaises(PlatformAmbiguous):
             await self.objects.put("o", b"abcd")
         self.assertEqual(await self.objects.get("o"), b"ab")
 
-    async def test_oversized_and_malformed_answers_are_errors(self):
+    async def test_too_large_and_malformed_answers_are_errors(self):
         stored = self.platform.stand_in.objects
         stored["big"] = bytes(MAX_RESPONSE_BYTES + 1)
         with self.assertRaisesRegex(PlatformError, "exceeds"):
@@ -200,7 +196,7 @@
 class RateTest(PlatformCase):
     rates = {"writes_per_second": 1e-9 + 2, "reads_per_second": 1e-6}
 
-    async def test_excess_is_refused_and_counted(self):
+    async def test_requests_above_the_rate_are_refused_and_counted(self):
         await self.table.write([Put("a/1", {}, 0)])
         with self.assertRaisesRegex(PlatformError, "429"):
             await self.table.write([Put(f"a/{n}", {}) for n in range(3)])
