--- a/tests/unit/platform/test_operator_versions.py
+++ b/tests/unit/platform/test_operator_versions.py
@@ -109,7 +109,7 @@
         )
         await versions.load()
         self.assertEqual((await versions.changed()).version, 9)
-        self.assertEqual(versions.seen, 80)
+        self.assertEqual(versions.read_version, 80)
 
     async def test_what_is_no_version_is_a_policy_error(self):
         for content in (
--- a/tests/unit/platform/test_store_rows.py
+++ b/tests/unit/platform/test_store_rows.py
@@ -61,8 +61,8 @@
     def test_a_row_is_reported_once(self):
         unreadable = UnreadableRows()
         for _ in range(3):
-            unreadable.note("seeds/a", "spoiled")
-        self.assertEqual((unreadable.count, unreadable.reported), (3, {"seeds/a"}))
+            unreadable.record("seeds/a", "spoiled")
+        self.assertEqual((unreadable.count, unreadable.logged), (3, {"seeds/a"}))
 
     def test_an_own_row_that_is_no_object_counts_as_empty(self):
         """The seeds of a failure domain could never be written again.
