--- a/deploy/list_played.py
+++ b/deploy/list_played.py
@@ -1,7 +1,7 @@
-"""Lists which days were played on which commit, and what came out.
+"""Lists the simulated days of the journal with their commits and outcomes.
 
-Run it as `python deploy/list_played.py`. It reads the journal, in which
-every run on the platform's bench leaves an entry.
+Run it as `python deploy/list_played.py`. It reads the journal, which has an
+entry for each run on the platform's bench. A day is one scenario of the bench.
 """
 
 import json
@@ -12,28 +12,29 @@
 OWN_DAYS = Path(__file__).parent / "days"
 JOURNAL = Path(__file__).parent.parent / "journal"
 COMMIT_DIGITS = 8
-CUT_SHORT = "--until"
-"""Option of a run that ends before its day does, and shows no outcome."""
+UNTIL_OPTION = "--until"
+"""Option of runs that end before their day and therefore have no outcome."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlayedDay:
-    """One day of one journal entry.
+    """Result of one day of a journal entry.
 
     Attributes
     ----------
     played_at : str
     commit : str
-        Checked out then; the sources may have been changed since.
+        The commit checked out at the run; the working tree may have differed.
     file : str
-        Name of the day's own file, empty for a day of the site.
+        File name of one of our own days; empty for a day of the site.
     troubles : tuple of str
-        Kinds of disruption and planned work.
+        Kinds of disruptions and planned work.
     worth : float
+        Score of the day.
     broken : tuple of str
-        Rules that the day broke.
+        Rules violated during the day.
     passed : bool
-        Whether it reached its floors.
+        Whether the day reached its minimum scores.
     """
 
     played_at: str
@@ -45,25 +46,25 @@
     passed: bool
 
     def outcome(self):
-        """Return what came out, in a few words."""
+        """Return the outcome as a short text."""
         if self.broken:
             return "broke " + ", ".join(self.broken)
         return "passed" if self.passed else "short of its floors"
 
 
 def read_journal(folder):
-    """Return all whole days of the journal, the oldest first."""
+    """Return all completed days of the journal, oldest first."""
     entries = [json.loads(path.read_text()) for path in sorted(folder.glob("*.json"))]
     return [
         played_day(entry, day)
         for entry in entries
-        if CUT_SHORT not in entry["argv"]
+        if UNTIL_OPTION not in entry["argv"]
         for day in entry.get("days") or ()
     ]
 
 
 def played_day(entry, day):
-    """Return a day of an entry; `KeyError` when its form is another one."""
+    """Return a day of an entry; `KeyError` if the entry is malformed."""
     files = [Path(word).name for word in entry["argv"] if word.endswith(".toml")]
     return PlayedDay(
         played_at=entry["at"][0],
@@ -77,19 +78,19 @@
 
 
 def own_day_rows(days):
-    """Return one line for each own day: its newest run."""
+    """Yield a line for each of our own days, with its newest run."""
     newest = {day.file: day for day in days if day.file}
     for path in sorted(OWN_DAYS.glob("*.toml")):
         day = newest.get(path.name)
         if day is None:
             yield f"{path.stem:34} not played"
         else:
-            what = f"{day.worth:.3f}  {day.outcome()}"
-            yield f"{path.stem:34} {day.played_at[:10]}  {day.commit}  {what}"
+            result = f"{day.worth:.3f}  {day.outcome()}"
+            yield f"{path.stem:34} {day.played_at[:10]}  {day.commit}  {result}"
 
 
 def trouble_rows(days):
-    """Return one line for each kind: days with it, and its newest run."""
+    """Yield a line for each kind of disruption, with its newest run."""
     by_kind = defaultdict(list)
     for day in days:
         for kind in day.troubles:
