--- a/packages/papayabay-core/src/papayabay_core/configuration/snapshot.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/snapshot.py
@@ -98,9 +98,8 @@
             # An interrupted write leaves a truncated object, which fails its
             # checksum. An older snapshot or all patches are read instead.
             return None
-        if configuration and configuration.version == version:
-            return configuration
-        return None
+        is_valid = configuration and configuration.version == version
+        return configuration if is_valid else None
 
     async def listed_versions(self, upto=None):
         """Return the versions listed in the pointer, newest first."""
--- a/tests/unit/platform/boot_support.py
+++ b/tests/unit/platform/boot_support.py
@@ -1,4 +1,4 @@
-"""A settings file as the platform writes it."""
+"""A settings file of the platform for tests."""
 
 BOOT = """
 [self]
--- a/tests/unit/platform/test_accounts.py
+++ b/tests/unit/platform/test_accounts.py
@@ -1,4 +1,4 @@
-"""The platform's tenants are papayabay's client accounts."""
+"""Tests of the platform's tenants as client accounts."""
 
 import json
 import unittest
@@ -45,7 +45,7 @@
 
 
 class ConfigurationTests(unittest.TestCase):
-    def test_a_tenant_is_an_account_with_digests_for_keys(self):
+    def test_tenant_becomes_account_with_key_digests(self):
         account = configuration().values["accounts"]["pulo780"]
         self.assertEqual(account["key_digests"], [*map(digest_key, TENANT["apiKeys"])])
         policy = configuration().policy()
@@ -53,14 +53,14 @@
         self.assertEqual((found.name, found.importance), ("pulo780", Importance.NORMAL))
         self.assertEqual((found.limit.rate_per_s, found.limit.burst), (178, 90))
 
-    def test_a_version_that_goes_to_peers_holds_no_key(self):
-        """Guards against keys in what daemons send each other and show."""
+    def test_configuration_contains_no_key(self):
+        """Guards against keys in configurations sent to peers or displayed."""
         content = json.dumps(configuration().values)
         for key in TENANT["apiKeys"]:
             self.assertNotIn(key, content)
 
-    def test_a_fault_of_a_tenant_tells_no_key(self):
-        """Guards against a key in the log line on a version out of force."""
+    def test_fault_of_a_tenant_contains_no_key(self):
+        """Guards against keys in the log line about a refused version."""
         broken = TENANT | {"apiKeys": ["maj3nr26", 7]}
         with self.assertRaises(InvalidValues) as raised:
             configuration(tenants=[broken])
@@ -71,7 +71,7 @@
         rule = policy.routes.find("h.example", "/read/1").rules[0]
         self.assertTrue(rule.public)
 
-    def test_without_tenants_there_are_no_accounts(self):
+    def test_no_tenants_give_no_accounts(self):
         self.assertFalse(configuration(tenants=[]).policy().accounts)
 
 
@@ -81,27 +81,27 @@
         raw = [(b"Host", b"h.example"), (b"X-Papayabay-Request-Id", b"9c41"), *fields]
         return dialect.read("GET", "/read/7", end_to_end(raw, dialect.names))
 
-    def test_the_tenant_is_never_taken_from_outside(self):
-        """Guards against a client that names a tenant itself, in any case."""
+    def test_tenant_field_of_a_client_is_removed(self):
+        """Guards against a client that claims a tenant, in any letter case."""
         for name in (b"X-Papayabay-Tenant", b"x-papayabay-TENANT"):
             incoming = self.read((name, b"pulo780"))
             names = [field.lower() for field, _ in incoming.headers]
             self.assertNotIn("x-papayabay-tenant", names)
 
-    def test_the_key_is_read(self):
+    def test_key_is_read(self):
         incoming = self.read((b"AUTHORIZATION", b"Bearer maj3nr26"))
         self.assertEqual(incoming.authorization, "Bearer maj3nr26")
 
-    def test_the_upstream_is_told_the_tenant(self):
+    def test_tenant_is_sent_to_the_upstream(self):
         call = account_call("pulo780", request_id="9c41", service="svc-1")
         announcement = Announcement("svc-1", "127.0.0.1", 1, 4, 8, "i-1")
         head = PlatformTargetDialect().request_head(call, "t", announcement)
         self.assertIn(b"\r\nX-Papayabay-Tenant: pulo780\r\n", head)
 
-    def test_statuses(self):
-        """Guards against a refusal without a time to come back."""
+    def test_statuses_and_retry_after(self):
+        """Guards against a retryable refusal without Retry-After."""
         dialect = PlatformCallerDialect("svc-0")
-        for kind, status, comes_back in (
+        for kind, status, has_retry_after in (
             (ErrorKind.UNAUTHENTICATED, 401, False),
             (ErrorKind.RATE_LIMITED, 429, True),
             (ErrorKind.ACCOUNTS_STALE, 503, True),
@@ -110,7 +110,7 @@
             answer = dialect.render_error(CallError(kind))
             names = [name for name, _ in answer.headers]
             self.assertEqual(answer.status, status)
-            self.assertEqual("Retry-After" in names, comes_back)
+            self.assertEqual("Retry-After" in names, has_retry_after)
 
 
 if __name__ == "__main__":
--- a/tests/unit/platform/test_boot_settings.py
+++ b/tests/unit/platform/test_boot_settings.py
@@ -1,3 +1,5 @@
+"""Tests of the platform's settings file and its durations."""
+
 import tempfile
 import unittest
 from pathlib import Path
@@ -14,7 +16,7 @@
         self.assertEqual(milliseconds("2.5s"), 2_500)
         self.assertEqual(milliseconds("0ms"), 0)
 
-    def test_what_is_no_time_is_refused(self):
+    def test_invalid_durations_are_refused(self):
         for text in ("", "5", "5m", "-1s", "1.s", " 1s", None, 3):
             with self.subTest(text), self.assertRaises(ValueError):
                 milliseconds(text)
@@ -39,22 +41,22 @@
         self.assertLess(settings.limits.drain_ms, 6_000)
         self.assertEqual(boot.vm.app_address.port, 8301)
 
-    def test_ports_of_daemons_lie_within_their_range_and_differ(self):
+    def test_ports_of_daemons_are_distinct_and_in_range(self):
         settings = self.load(BOOT).daemon_settings()
         vm = settings.vm
         ports = {vm.link_port, vm.gossip_port, settings.loopback.status_port}
         self.assertEqual(len(ports), 3)
         self.assertTrue(ports <= set(range(7620, 7636)))
 
-    def test_clients_leave_descriptors_to_links_and_upstream(self):
+    def test_connection_limit_leaves_descriptors_for_links(self):
         few = BOOT.replace("memoryMb = 300", "maxFds = 1200")
         self.assertEqual(self.load(few).daemon_settings().limits.connections, 500)
         self.assertLess(self.load(BOOT).daemon_settings().limits.connections, 4_096)
 
-    def test_strange_fields_are_not_looked_at(self):
+    def test_unknown_fields_are_ignored(self):
         self.load(BOOT + "\n[later]\nfield = 1\n")
 
-    def test_each_fault_is_named_with_its_key(self):
+    def test_faults_name_their_key(self):
         for old, new, named in (
             ('"10.1.0.8:8304"', '"here"', "outbound"),
             ('"1500ms"', '"soon"', "heartbeat"),
@@ -64,7 +66,7 @@
                 self.load(BOOT.replace(old, new))
             self.assertIn(named, str(caught.exception))
 
-    def test_missing_or_broken_file(self):
+    def test_missing_or_malformed_file(self):
         with self.assertRaises(SettingsError):
             load_boot("/nowhere/boot.toml")
         with self.assertRaises(SettingsError):
--- a/tests/unit/platform/test_caller_dialect.py
+++ b/tests/unit/platform/test_caller_dialect.py
@@ -1,3 +1,5 @@
+"""Tests of reading clients' requests and reporting errors to them."""
+
 import unittest
 
 from papayabay_core.calls import Answer
@@ -5,7 +7,8 @@
 from papayabay_daemon._internal.doors.headers import end_to_end
 from papayabay_platform.caller_dialect import PlatformCallerDialect
 
-PROMISES = {408, 421, 429, 503}
+NOT_RUN_STATUSES = {408, 421, 429, 503}
+"""Statuses after which clients retry even requests that must run only once."""
 RAW = [
     (b"Host", b"hulo.example"),
     (b"X-Papayabay-Request-Id", b"9c41"),
@@ -32,12 +35,12 @@
         self.assertEqual(incoming.deadline_ms, 5_000)
         self.assertEqual(incoming.service, "")
 
-    def test_an_id_may_name_its_parent(self):
+    def test_parent_id_is_taken_from_the_request_id(self):
         self.assertEqual(self.read(RAW).parent_id, "")
         child = [(name, value.replace(b"9c41", b"9c41.7.a")) for name, value in RAW]
         self.assertEqual(self.read(child).parent_id, "9c41.7")
 
-    def test_what_travels_on(self):
+    def test_forwarded_headers(self):
         self.assertEqual(
             self.read(RAW).headers,
             [
@@ -48,13 +51,13 @@
             ],
         )
 
-    def test_no_id_or_a_wrong_deadline_is_a_bad_request(self):
-        for left_out in (RAW[:1], [*RAW[:2], (b"X-Papayabay-Deadline-Ms", b"1.5")]):
-            with self.subTest(left_out), self.assertRaises(CallError) as caught:
-                self.read(left_out)
+    def test_missing_id_or_invalid_deadline_is_a_bad_request(self):
+        for raw in (RAW[:1], [*RAW[:2], (b"X-Papayabay-Deadline-Ms", b"1.5")]):
+            with self.subTest(raw), self.assertRaises(CallError) as caught:
+                self.read(raw)
             self.assertEqual(caught.exception.kind, ErrorKind.BAD_REQUEST)
 
-    def test_a_repeated_id_is_refused(self):
+    def test_duplicate_id_is_refused(self):
         with self.assertRaises(ValueError):
             self.read([*RAW, (b"x-papayabay-request-id", b"other")])
 
@@ -63,23 +66,23 @@
     def setUp(self):
         self.dialect = PlatformCallerDialect("svc-a")
 
-    def test_only_what_has_not_run_gets_a_promise(self):
-        """Clients repeat what must run once after 408, 421, 429 and 503."""
+    def test_not_run_statuses_only_for_effect_not_run(self):
+        """Guards against a client that retries a request which has run."""
         for kind, row in ERROR_ANSWERS.items():
             for effect in Effect:
                 with self.subTest(kind=kind, effect=effect):
                     answer = self.dialect.render_error(CallError(kind), (), effect)
-                    if answer.status in PROMISES:
+                    if answer.status in NOT_RUN_STATUSES:
                         self.assertIs(effect, Effect.NOT_RUN)
             plain = self.dialect.render_error(CallError(kind))
             if row.effect is Effect.NOT_RUN and row.status >= 500:
                 self.assertEqual(plain.status, 503)
 
-    def test_doubt_noted_on_an_answer_goes_before_the_table(self):
+    def test_effect_of_an_answer_overrides_that_of_its_kind(self):
         answer = Answer(503, kind=ErrorKind.OVERLOADED, effect=Effect.UNKNOWN)
         self.assertEqual(self.dialect.render_error(answer).status, 502)
 
-    def test_a_refusal_says_when_to_come_back(self):
+    def test_refusals_have_retry_after(self):
         error = CallError(ErrorKind.OVERLOADED, retry_after_ms=350)
         self.assertIn(
             ("Retry-After", "0.350"), self.dialect.render_error(error).headers
@@ -87,7 +90,7 @@
         leaving = self.dialect.render_error(CallError(ErrorKind.LEAVING))
         self.assertIn("Retry-After", dict(leaving.headers))
 
-    def test_no_error_bears_a_signature(self):
+    def test_error_answers_have_no_upstream_signature(self):
         signed = [("X-Papayabay-Upstream-Signature", "3e1b")]
         answer = Answer(502, signed, kind=ErrorKind.TARGET_LOST)
         rendered = self.dialect.render_error(answer, answer.headers)
--- a/tests/unit/platform/test_heartbeat_door.py
+++ b/tests/unit/platform/test_heartbeat_door.py
@@ -1,3 +1,5 @@
+"""Tests of the listeners for heartbeats and readiness checks."""
+
 import json
 import tempfile
 import unittest
@@ -58,24 +60,24 @@
         status, _ = await self.post(path, heartbeat(*args, **changes))
         return status
 
-    async def test_a_heartbeat_announces(self):
+    async def test_heartbeat_announces_the_upstream(self):
         self.assertEqual(await self.beat("i-1"), 200)
         current = self.registry.current
         self.assertEqual((current.service, current.slots), ("svc-a", 36))
         self.assertEqual(current.incarnation, "i-1")
 
-    async def test_draining_is_acknowledged_and_a_late_one_does_not_undo_it(self):
-        """A leaving target got new work after it was told that it would not.
+    async def test_delayed_heartbeat_does_not_undo_draining(self):
+        """Guards against new calls to a target that reported draining.
 
-        It reports draining; a heartbeat from before is held up on its way
-        and arrives after it, saying ready.
+        An earlier heartbeat with state ready is delayed and arrives after the
+        one with state draining.
         """
         await self.beat("i-1", 1)
         self.assertEqual(await self.beat("i-1", 3, "draining"), 200)
         self.assertEqual(await self.beat("i-1", 2), 200)
         self.assertTrue(self.registry.current.draining)
 
-    async def test_nothing_follows_a_deregistration(self):
+    async def test_heartbeats_after_a_deregistration_are_ignored(self):
         await self.beat("i-1", 1)
         status, _ = await self.post("/Instances.Deregister/i-1", {})
         self.assertEqual(status, 200)
@@ -84,10 +86,11 @@
         await self.beat("i-2", 0)
         self.assertFalse(self.registry.current.draining)
 
-    async def test_a_restart_under_the_same_id_begins_anew(self):
-        """An upstream that started again under its id stayed unknown.
+    async def test_restart_with_the_same_id_is_recognized(self):
+        """Guards against an upstream that stays draining after its restart.
 
-        Its numbers begin anew, and were taken for those of late heartbeats.
+        It restarts with the same id and its sequence numbers start again, so
+        its heartbeats look like delayed ones of the previous process.
         """
         await self.beat("i-1", 8, "draining", born=1_000)
         await self.beat("i-1", 1, born=2_000)
@@ -99,13 +102,13 @@
         await self.post("/Instances.Deregister/i-1", {"born": 2_000})
         self.assertTrue(self.registry.current.draining)
 
-    async def test_a_start_that_is_no_whole_number_is_refused(self):
+    async def test_invalid_start_time_is_refused(self):
         for born in ("1000", 1.5, -1, True, None, [1]):
             with self.subTest(born):
                 self.assertEqual(await self.beat("i-1", born=born), 400)
         self.assertIsNone(self.registry.current)
 
-    async def test_another_writers_messages_change_nothing(self):
+    async def test_invalid_messages_change_nothing(self):
         await self.beat("i-1", 1)
         before = self.registry.current
         path = "/Instances.Heartbeat/i-1"
@@ -124,11 +127,11 @@
             self.assertEqual(status, 400)
         self.assertIs(self.registry.current, before)
 
-    async def test_another_address_is_refused(self):
+    async def test_heartbeat_of_another_address_is_refused(self):
         self.assertEqual(await self.beat("i-1", address="127.0.0.1:9"), 400)
         self.assertIsNone(self.registry.current)
 
-    async def test_what_is_no_heartbeat_is_refused(self):
+    async def test_malformed_heartbeats_are_refused(self):
         for values in ({}, [], heartbeat(state="odd"), heartbeat(address="nowhere")):
             status, _ = await self.post("/Instances.Heartbeat/i-1", values)
             self.assertEqual(status, 400)
@@ -138,7 +141,7 @@
 class ReadinessTest(DoorTestCase):
     door_class = ReadinessDoor
 
-    async def test_ready_and_not(self):
+    async def test_status_shows_readiness(self):
         self.assertEqual((await self.ask(request("/ready")))[0], 200)
         self.ready = False
         self.assertEqual((await self.ask(request("/ready")))[0], 503)
--- a/tests/unit/platform/test_list_played.py
+++ b/tests/unit/platform/test_list_played.py
@@ -1,3 +1,5 @@
+"""Tests of the list of simulated days in the journal."""
+
 import importlib.util
 import json
 import tempfile
@@ -34,7 +36,7 @@
             (self.folder / f"{number}.json").write_text(json.dumps(content))
         return self.script.read_journal(self.folder)
 
-    def test_the_newest_run_of_an_own_day_is_shown(self):
+    def test_newest_run_of_each_own_day_is_listed(self):
         path = next(iter(sorted(self.script.OWN_DAYS.glob("*.toml"))))
         files = [".../site.toml", f"deploy/days/{path.name}"]
         days = self.days(
--- a/tests/unit/platform/test_operator_versions.py
+++ b/tests/unit/platform/test_operator_versions.py
@@ -1,3 +1,5 @@
+"""Tests of reading the operator's configuration from the store."""
+
 import json
 import unittest
 
@@ -43,19 +45,19 @@
 
 
 class FakeClient:
-    """Gives pages in turn; an exception is raised."""
+    """Returns the given pages in order; raises those that are exceptions."""
 
     def __init__(self, *pages):
         self.era = StoreEra()
         self.pages = list(pages)
-        self.asked = []
+        self.requests = []
 
     async def read(self, table, first="", after_last="", limit=500):
-        self.asked.append(("read", table, first))
+        self.requests.append(("read", table, first))
         return self.next()
 
     async def feed(self, table, after, wait_ms):
-        self.asked.append(("feed", table, after))
+        self.requests.append(("feed", table, after))
         return self.next()
 
     def next(self):
@@ -74,7 +76,7 @@
         self.client = FakeClient(*pages)
         return OperatorVersions(self.client, {"ratio": 0.1}, {})
 
-    async def test_a_version_becomes_a_policy(self):
+    async def test_version_becomes_a_policy(self):
         loaded = await self.versions(page(written(), 5)).load()
         self.assertEqual((loaded.version, loaded.confirmed), (7, True))
         routes = loaded.policy().routes
@@ -85,24 +87,24 @@
         self.assertFalse(order.idempotent)
         self.assertEqual(order.importance, 0)
 
-    async def test_nothing_written_yet(self):
+    async def test_store_without_configuration(self):
         loaded = await self.versions(Page([], 0)).load()
         self.assertEqual((loaded.version, loaded.confirmed), (0, False))
 
-    async def test_changes_are_asked_for_from_the_last_page_on(self):
+    async def test_changes_are_requested_since_the_last_page(self):
         versions = self.versions(
             page(written(), 5), Page([], 6), page(written("r9"), 8)
         )
         await versions.load()
         self.assertIsNone(await versions.changed())
         self.assertEqual((await versions.changed()).version, 9)
-        self.assertEqual([asked[-1] for asked in self.client.asked[1:]], [5, 6])
+        self.assertEqual([request[-1] for request in self.client.requests[1:]], [5, 6])
 
-    async def test_changes_that_are_gone_bring_the_whole(self):
-        """A version was missed for good.
+    async def test_missing_history_causes_a_full_read(self):
+        """Guards against a version that is missed for good.
 
-        The store drops its history while it tells of no changes; what was
-        written meanwhile is in no later answer to the same question.
+        The store discards its history before the daemon has read it, and
+        later answers of the feed don't contain the discarded changes.
         """
         versions = self.versions(
             page(written(), 5), HistoryGone("gone"), page(written("r9"), 80)
@@ -111,7 +113,7 @@
         self.assertEqual((await versions.changed()).version, 9)
         self.assertEqual(versions.read_version, 80)
 
-    async def test_what_is_no_version_is_a_policy_error(self):
+    async def test_invalid_version_is_a_policy_error(self):
         for content in (
             b"{",
             written("7"),
@@ -121,7 +123,7 @@
             with self.subTest(content), self.assertRaises(PolicyError):
                 await self.versions(page(content, 5)).load()
 
-    async def test_a_store_that_fails_is_a_platform_error(self):
+    async def test_store_failure_is_a_platform_error(self):
         with self.assertRaises(PlatformError):
             await self.versions(PlatformError("down")).load()
 
--- a/tests/unit/platform/test_request_identity.py
+++ b/tests/unit/platform/test_request_identity.py
@@ -1,4 +1,4 @@
-"""What is the same request, on its way through the platform's daemons."""
+"""Tests that a request has the same fingerprint at all daemons."""
 
 import unittest
 from types import SimpleNamespace
@@ -13,8 +13,8 @@
 from tests.lib.cluster_fakes import make_settings
 
 
-def entered(service, request_id):
-    """Return the call that a client's request becomes beside a service."""
+def entry_call(service, request_id):
+    """Return the call of a client's request at the daemon of a service."""
     dialect = PlatformCallerDialect(service)
     raw = [(b"Host", b"h.example"), (b"X-Papayabay-Request-Id", request_id)]
     incoming = dialect.read("GET", "/read/7", end_to_end(raw, dialect.names))
@@ -28,22 +28,18 @@
 
 
 class IdentityTests(unittest.TestCase):
-    """A request that was held back ended targets again by other entries.
+    """Guards against a quarantined request that crashes targets again.
 
-    Symptom: a request under which three targets had ended reached four more,
-    eleven in all. Sequence: it ends two or three targets and is held back; it
-    comes again at a machine beside whose daemon another service runs, and
-    ends as many there; so on for each of four services.
-
-    Cause: the service beside which a request enters was a part of what tells
-    requests apart. It belongs to the machine, not to the request. Proof: one
-    request had three fingerprints beside three services.
+    The request crashes two or three targets and is quarantined. Clients retry
+    it at daemons of other services. If the service of the entry daemon is a
+    part of the fingerprint, each of these daemons treats it as a new request:
+    with four services, one request crashed eleven targets.
     """
 
-    def test_it_is_the_same_beside_whatever_service_it_enters(self):
+    def test_fingerprint_does_not_depend_on_the_entry_service(self):
         fingerprints = Fingerprints(make_settings("d1"))
         found = {
-            fingerprints.of(entered(service, request_id))
+            fingerprints.of(entry_call(service, request_id))
             for service in ("svc-0", "svc-1", "svc-2")
             for request_id in (b"9c41", b"07aa")
         }
--- a/tests/unit/platform/test_store_eras.py
+++ b/tests/unit/platform/test_store_eras.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy."""
+"""Tests of a store that is restored from a backup."""
 
 import unittest
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 
 
 def configuration(version):
-    """Return a version as the operator writes it."""
+    """Return a version of the operator's configuration."""
     services = [{"name": "svc-a"}, {"name": "svc-b"}]
     return {"version": version, "routes": [ROUTE, ORDER], "services": services}
 
@@ -32,19 +32,19 @@
         self.table = StoreTable(self.client)
 
     async def write_others(self, count):
-        """Let others write, so that the store's version grows."""
+        """Write to another table to increase the version of the store."""
         for number in range(count):
             await self.store.put("others", "row", {"number": number})
 
 
 class ReadingTests(EraCase):
-    async def test_what_was_written_between_is_heard(self):
-        """Daemons kept to different configurations for good.
+    async def test_configuration_written_after_a_restore_is_read(self):
+        """Guards against daemons that keep different configurations for good.
 
-        Sequence: a reader has seen all up to version 10; the store comes back
-        from a copy of version 1; the operator writes a configuration, and
-        others write until the store is past 10 again. Cause: changes after 10
-        leave that configuration out, and nothing says so.
+        A daemon has read all changes up to version 10, and the store is
+        restored from a backup of version 1. The operator writes a
+        configuration, and other writes bring the store beyond version 10
+        again. The changes since version 10 don't include the configuration.
         """
         versions = OperatorVersions(self.client, {"ratio": 0.1}, {})
         await self.store.put("op", "config", configuration("r5"))
@@ -57,7 +57,7 @@
         await self.store.put("op", "other", {})
         self.assertEqual((await versions.changed()).version, 7)
 
-    async def test_an_answer_that_comes_late_from_before_is_no_answer(self):
+    async def test_delayed_answer_of_an_earlier_era_is_refused(self):
         await self.store.put(OWN_TABLE, "seeds/a", {"seeds": []})
         await self.store.restore(self.store.copy())
         await self.table.get("seeds/a")
@@ -67,12 +67,12 @@
 
 
 class WritingTests(EraCase):
-    async def test_a_condition_holds_within_its_era_only(self):
-        """A row was overwritten that nobody had read.
+    async def test_condition_on_an_earlier_era_fails(self):
+        """Guards against overwriting a row that the writer has not read.
 
-        Sequence: a daemon reads a row; the store comes back from a copy
-        without it; another daemon writes it, and it gets the same version
-        again. Cause: the version alone was the condition.
+        A daemon reads a row, and the store is restored from a backup without
+        it. Another daemon writes the row, which gets the same version again,
+        so a condition on the version alone would hold.
         """
         copy = self.store.copy()
         await self.store.put(OWN_TABLE, "seeds/a", {"by": "first"})
@@ -87,18 +87,19 @@
         self.assertGreater(found.revision, row.revision)
         await self.table.write([Put("seeds/a", {"by": "third"}, found.revision)])
 
-    async def test_a_row_that_was_lost_is_written_again(self):
-        """A request that was held back ended targets after a restart of all.
+    async def test_row_lost_by_a_restore_is_written_again(self):
+        """Guards against a lost quarantine after a restart of all daemons.
 
-        Sequence: its row is written; the store comes back from a copy without
-        it; all daemons start anew. Cause: who wrote the row took it for kept.
+        The row of a quarantined request is written, and the store is restored
+        from a backup without it. The daemon that wrote the row must write it
+        again, or no daemon knows of the quarantine after the restart.
         """
-        book = QuarantineRegistry()
-        book.add_crash(b"end-1", {b"request": 0.0})
-        book.add_crash(b"end-2", {b"request": book.clock()})
+        registry = QuarantineRegistry()
+        registry.add_crash(b"end-1", {b"request": 0.0})
+        registry.add_crash(b"end-2", {b"request": registry.clock()})
         member = SimpleNamespace(name="d1")
         members = SimpleNamespace(local=member, live=lambda: [member])
-        rows = QuarantineRows(book, self.table, members)
+        rows = QuarantineRows(registry, self.table, members)
         copy = self.store.copy()
         await rows.keep()
         self.assertEqual(len(self.store.rows), 1)
--- a/tests/unit/platform/test_store_rows.py
+++ b/tests/unit/platform/test_store_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store that somebody else wrote, or that were spoiled."""
+"""Tests of rows that another program wrote or that are corrupted."""
 
 import base64
 import json
@@ -39,13 +39,13 @@
 
 
 class RowsTest(unittest.TestCase):
-    def test_one_bad_row_hides_no_other(self):
-        """No daemon found any other.
+    def test_malformed_row_does_not_hide_others(self):
+        """Guards against daemons that can't discover each other.
 
-        Somebody wrote one row of another form into the table of seeds. Cause:
-        the whole answer was refused for it, at each try again.
+        Another program writes a malformed row into the table of seeds. If the
+        whole answer is refused for it, no daemon reads any seed.
         """
-        spoiled = (
+        malformed = (
             {},
             5,
             {"key": "seeds/b"},
@@ -54,20 +54,22 @@
             GOOD | {"ver": "new"},
             GOOD | {"key": 5},
         )
-        page, unreadable = page_of(*spoiled, GOOD)
+        page, unreadable = page_of(*malformed, GOOD)
         self.assertEqual(page.rows, [StoredRow("seeds/a", b"{}", 3)])
-        self.assertEqual(unreadable.count, len(spoiled))
+        self.assertEqual(unreadable.count, len(malformed))
 
-    def test_a_row_is_reported_once(self):
+    def test_row_is_logged_once(self):
         unreadable = UnreadableRows()
         for _ in range(3):
-            unreadable.record("seeds/a", "spoiled")
+            unreadable.record("seeds/a", "malformed")
         self.assertEqual((unreadable.count, unreadable.logged), (3, {"seeds/a"}))
 
-    def test_an_own_row_that_is_no_object_counts_as_empty(self):
-        """The seeds of a failure domain could never be written again.
+    def test_own_row_without_json_object_is_read_as_empty(self):
+        """Guards against seeds that can never be written again.
 
-        Its row was spoiled; whoever keeps it reads it first, and failed.
+        The daemon responsible for the seeds of a failure domain reads their
+        row before it writes it; if the row is corrupted, the read must not
+        fail.
         """
 
         class Client:
@@ -79,23 +81,23 @@
             row = table.own_row(StoredRow("seeds/a", value, 4))
             self.assertEqual((row.value, row.revision), ({}, 4))
 
-    def test_an_answer_of_another_form_is_refused(self):
+    def test_malformed_answers_are_refused(self):
         for content in (b"", b"[]", b"{}", b'{"rows": 5, "ver": 1}', b"\xff"):
             with self.subTest(content), self.assertRaises(PlatformError):
                 decode_page(content, "http://store", UnreadableRows())
 
     @given(st.lists(anything, max_size=4))
-    def test_whatever_stands_beside_a_row_it_is_read(self, others):
+    def test_row_is_read_whatever_the_other_rows_are(self, others):
         page, _ = page_of(*others, GOOD)
         self.assertEqual(page.rows[-1], StoredRow("seeds/a", b"{}", 3))
 
     @given(anything)
-    def test_seeds_of_any_form_are_parsed(self, value):
+    def test_parsing_any_value_as_seeds_never_fails(self, value):
         for seed in parse_seeds(value):
             self.assertIsInstance(seed.host, str)
 
     @given(anything)
-    def test_a_configuration_of_any_form_is_taken_or_refused(self, value):
+    def test_any_value_is_accepted_or_refused_as_configuration(self, value):
         try:
             OperatorConfiguration.model_validate(value)
         except ValueError:
--- a/tests/unit/platform/test_target_dialect.py
+++ b/tests/unit/platform/test_target_dialect.py
@@ -1,3 +1,5 @@
+"""Tests of requests to upstreams and of the verdicts on their answers."""
+
 import unittest
 
 from papayabay_core.errors import CallError, ErrorKind
@@ -28,7 +30,7 @@
     return b"\r\n".join([*lines, b"", body])
 
 
-class JudgingTest(unittest.TestCase):
+class ClassificationTest(unittest.TestCase):
     def classify(self, status, *fields):
         made = call()
         values = Head(fields).first
@@ -58,7 +60,7 @@
             with self.subTest(status=status, fields=fields):
                 self.assertIs(self.classify(status, *fields), verdict)
 
-    def test_a_healthy_upstream_is_announced(self):
+    def test_healthy_upstream_is_announced(self):
         target = TargetSettings(service="svc", host="10.0.0.1", port=80)
         instance = (b"X-Papayabay-Upstream-Instance", b"i-7")
         load = (b"X-Papayabay-Upstream-Load", b"3,0,8")
@@ -74,7 +76,7 @@
         self.assertIsNone(announcement_from_health(target, 200, (instance,)))
         self.assertIsNone(announcement_from_health(target, 200, (load,)))
 
-    def test_head_names_the_instance_and_the_time_left(self):
+    def test_head_has_expected_instance_and_deadline(self):
         made = call()
         made.headers = [("Host", "hulo.example")]
         head = PlatformTargetDialect().request_head(made, "t", announcement())
@@ -88,7 +90,7 @@
 
 
 class ConnectionTest(ClientTestCase):
-    """The product's client with the platform's dialect, at a real socket."""
+    """The target client with the platform's dialect, over a real socket."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -98,12 +100,12 @@
         )
         self.addAsyncCleanup(self.client.close)
 
-    async def test_a_late_second_answer_is_skipped(self):
-        """A caller got the answer to another request.
+    async def test_late_second_answer_is_skipped(self):
+        """Guards against a caller that gets the answer to another request.
 
-        The target answers request r0 a second time, when its connection
-        already serves r1. The second answer stands where the one to r1 is
-        expected; its echoed id tells it apart.
+        The target answers request r0 a second time, after r1 was sent on the
+        same connection. The echoed request id shows that it is not the answer
+        to r1.
         """
 
         async def behave(reader, writer):
@@ -114,7 +116,7 @@
         answer = await self.run_call(call())
         self.assertEqual(answer.body.first, b"own")
 
-    async def test_answers_to_others_only_leave_the_end_unknown(self):
+    async def test_effect_is_unknown_if_all_answers_are_to_other_requests(self):
         async def behave(reader, writer):
             for _ in range(8):
                 writer.write(response(200, (ID, b"r0"), SIGNATURE))
@@ -122,12 +124,12 @@
         await self.open(behave, incarnation="i-1")
         await self.fails(ErrorKind.TARGET_LOST, call())
 
-    async def test_bytes_on_an_idle_connection_end_it(self):
-        """A request that must run once was lost on a spoilt connection.
+    async def test_bytes_on_an_idle_connection_close_it(self):
+        """Guards against reading stray bytes as the answer to a request.
 
-        After a whole answer the target sends further bytes. The connection
-        lies idle then; were it used again, the bytes would be read as the
-        next answer, and what became of that request could not be told.
+        After a complete answer the target sends further bytes on the idle
+        connection. If it were reused, they would be read as the next answer,
+        and the effect of that request would be unknown.
         """
         served = []
 
@@ -141,14 +143,14 @@
             answer = await self.run_call(call())
             self.assertEqual(answer.body.first, b"ok")
 
-    async def test_an_unsigned_success_is_no_answer(self):
+    async def test_unsigned_success_is_refused(self):
         async def behave(reader, writer):
             writer.write(response(200, OWN))
 
         await self.open(behave, incarnation="i-1")
         await self.fails(ErrorKind.TARGET_LOST, call())
 
-    async def test_another_process_at_the_address_has_not_run_it(self):
+    async def test_answer_of_another_instance_means_not_run(self):
         async def behave(reader, writer):
             writer.write(response(421))
 
--- a/tests/unit/platform/test_wire_names.py
+++ b/tests/unit/platform/test_wire_names.py
@@ -1,4 +1,4 @@
-"""Nothing but the adapter knows the platform's names."""
+"""Tests that only the adapter contains names of the platform."""
 
 import re
 import unittest
@@ -14,7 +14,7 @@
 
 
 class NamesTest(unittest.TestCase):
-    def test_packages_know_no_name_of_the_wire(self):
+    def test_packages_do_not_contain_names_of_the_platform(self):
         found = [
             f"{path.relative_to(ROOT)}: {match[0]}"
             for path in sorted(ROOT.glob("packages/**/*.py"))
