--- a/tests/unit/platform/test_store_rows.py
+++ b/tests/unit/platform/test_store_rows.py
@@ -4,7 +4,7 @@
 import json
 import unittest
 
-from hypothesis import given, strategies as st
+from hypothesis import HealthCheck, given, settings, strategies as st
 
 from papayabay_core.exceptions import PlatformError
 from papayabay_core.platform import StoreEra
@@ -86,16 +86,31 @@
             with self.subTest(content), self.assertRaises(PlatformError):
                 decode_page(content, "http://store", UnreadableRows())
 
+    @settings(
+        derandomize=True,
+        deadline=None,
+        suppress_health_check=[HealthCheck.too_slow],
+    )
     @given(st.lists(anything, max_size=4))
     def test_row_is_read_whatever_the_other_rows_are(self, others):
         page, _ = page_of(*others, GOOD)
         self.assertEqual(page.rows[-1], StoredRow("seeds/a", b"{}", 3))
 
+    @settings(
+        derandomize=True,
+        deadline=None,
+        suppress_health_check=[HealthCheck.too_slow],
+    )
     @given(anything)
     def test_parsing_any_value_as_seeds_never_fails(self, value):
         for seed in parse_seeds(value):
             self.assertIsInstance(seed.host, str)
 
+    @settings(
+        derandomize=True,
+        deadline=None,
+        suppress_health_check=[HealthCheck.too_slow],
+    )
     @given(anything)
     def test_any_value_is_accepted_or_refused_as_configuration(self, value):
         try:
