--- a/packages/papayabay-core/src/papayabay_core/configuration/snapshot.py
+++ b/packages/papayabay-core/src/papayabay_core/configuration/snapshot.py
@@ -83,9 +83,9 @@
         missing, truncated and unreadable ones are skipped.
         """
         for version in await self.listed_versions(upto):
-            configuration = await self.fetch(version)
-            if configuration is not None:
-                return configuration
+            snapshot = await self.fetch(version)
+            if snapshot is not None:
+                return snapshot
         return None
 
     async def fetch(self, version):
@@ -93,13 +93,12 @@
         name = snapshot_name(version)
         try:
             content = await self.objects.get(name)
-            configuration = content and decode_configuration(content, name)
+            snapshot = content and decode_configuration(content, name)
         except PlatformError:
             # An interrupted write leaves a truncated object, which fails its
             # checksum. An older snapshot or all patches are read instead.
             return None
-        is_valid = configuration and configuration.version == version
-        return configuration if is_valid else None
+        return snapshot if snapshot and snapshot.version == version else None
 
     async def listed_versions(self, upto=None):
         """Return the versions listed in the pointer, newest first."""
