--- a/packages/papayabay-core/src/papayabay_core/calls.py
+++ b/packages/papayabay-core/src/papayabay_core/calls.py
@@ -68,8 +68,8 @@
     repeated : bool
         Whether this is a retry, or a call made while a retry was running.
     declared_class : Importance or None
-        The class that policy declares, where `importance` is a better one;
-        see `effective_priority`. None where both are the same.
+        The class that policy declares, if `importance` is a higher class;
+        see `effective_priority`. None if both are the same.
     attempts : int
         How many upstreams may run the call; 0 means no limit. Known to the
         dispatching daemon only, not sent over links.
@@ -180,7 +180,7 @@
         Load of the upstream that answered.
     exhausted : bool
         Whether a downstream daemon has already tried another upstream, or
-        had none to try. Upstream daemons then don't retry the call.
+        had none to try. Daemons closer to the entry then don't retry it.
     detail : str
         Human-readable explanation of the error kind, one line.
     """
--- a/packages/papayabay-core/src/papayabay_core/http/client.py
+++ b/packages/papayabay-core/src/papayabay_core/http/client.py
@@ -14,13 +14,15 @@
 
 
 class Message:
-    """An answer whose head has arrived.
+    """An answer whose head has been received.
 
     Attributes
     ----------
     status : int
+        HTTP status.
     head : Head
     payload : Payload
+        Its body, which may still be incomplete.
     """
 
     __slots__ = ("head", "payload", "status")
@@ -155,7 +157,7 @@
             self.deliver(message)
 
     def on_message_complete(self):
-        """Complete an answer whose end was parsed."""
+        """Complete the current answer; its end was parsed."""
         message = self.message
         if message is None:
             return
--- a/tests/unit/platform/test_heartbeat_door.py
+++ b/tests/unit/platform/test_heartbeat_door.py
@@ -45,23 +45,23 @@
         await self.door.start()
         self.addAsyncCleanup(self.door.close)
 
-    async def ask(self, raw):
+    async def send(self, raw):
         status, _, body = parse(await exchange(self.door.port, raw))
         return status, body
 
     async def post(self, path, values):
         content = json.dumps(values).encode()
-        return await self.ask(request(path, "POST", body=content))
+        return await self.send(request(path, "POST", body=content))
 
 
 class HeartbeatTest(DoorTestCase):
-    async def beat(self, instance, *args, **changes):
+    async def send_heartbeat(self, instance, *args, **changes):
         path = f"/Instances.Heartbeat/{instance}"
         status, _ = await self.post(path, heartbeat(*args, **changes))
         return status
 
     async def test_heartbeat_announces_the_upstream(self):
-        self.assertEqual(await self.beat("i-1"), 200)
+        self.assertEqual(await self.send_heartbeat("i-1"), 200)
         current = self.registry.current
         self.assertEqual((current.service, current.slots), ("svc-a", 36))
         self.assertEqual(current.incarnation, "i-1")
@@ -72,18 +72,18 @@
         An earlier heartbeat with state ready is delayed and arrives after the
         one with state draining.
         """
-        await self.beat("i-1", 1)
-        self.assertEqual(await self.beat("i-1", 3, "draining"), 200)
-        self.assertEqual(await self.beat("i-1", 2), 200)
+        await self.send_heartbeat("i-1", 1)
+        self.assertEqual(await self.send_heartbeat("i-1", 3, "draining"), 200)
+        self.assertEqual(await self.send_heartbeat("i-1", 2), 200)
         self.assertTrue(self.registry.current.draining)
 
     async def test_heartbeats_after_a_deregistration_are_ignored(self):
-        await self.beat("i-1", 1)
+        await self.send_heartbeat("i-1", 1)
         status, _ = await self.post("/Instances.Deregister/i-1", {})
         self.assertEqual(status, 200)
-        await self.beat("i-1", 2)
+        await self.send_heartbeat("i-1", 2)
         self.assertTrue(self.registry.current.draining)
-        await self.beat("i-2", 0)
+        await self.send_heartbeat("i-2", 0)
         self.assertFalse(self.registry.current.draining)
 
     async def test_restart_with_the_same_id_is_recognized(self):
@@ -92,10 +92,10 @@
         It restarts with the same id and its sequence numbers start again, so
         its heartbeats look like delayed ones of the previous process.
         """
-        await self.beat("i-1", 8, "draining", born=1_000)
-        await self.beat("i-1", 1, born=2_000)
+        await self.send_heartbeat("i-1", 8, "draining", born=1_000)
+        await self.send_heartbeat("i-1", 1, born=2_000)
         self.assertFalse(self.registry.current.draining)
-        await self.beat("i-1", 9, "draining", born=1_000)
+        await self.send_heartbeat("i-1", 9, "draining", born=1_000)
         status, _ = await self.post("/Instances.Deregister/i-1", {"born": 1_000})
         self.assertEqual(status, 200)
         self.assertFalse(self.registry.current.draining)
@@ -105,16 +105,16 @@
     async def test_invalid_start_time_is_refused(self):
         for born in ("1000", 1.5, -1, True, None, [1]):
             with self.subTest(born):
-                self.assertEqual(await self.beat("i-1", born=born), 400)
+                self.assertEqual(await self.send_heartbeat("i-1", born=born), 400)
         self.assertIsNone(self.registry.current)
 
     async def test_invalid_messages_change_nothing(self):
-        await self.beat("i-1", 1)
+        await self.send_heartbeat("i-1", 1)
         before = self.registry.current
         path = "/Instances.Heartbeat/i-1"
         for content in (b"", b"\xff\xfe", b"[1", b"null", b"[" * 5_000, b'{"a":1}'):
             with self.subTest(content[:9]):
-                status, _ = await self.ask(request(path, "POST", body=content))
+                status, _ = await self.send(request(path, "POST", body=content))
                 self.assertEqual(status, 400)
         for values in (
             heartbeat(2, "gone"),
@@ -128,7 +128,7 @@
         self.assertIs(self.registry.current, before)
 
     async def test_heartbeat_of_another_address_is_refused(self):
-        self.assertEqual(await self.beat("i-1", address="127.0.0.1:9"), 400)
+        self.assertEqual(await self.send_heartbeat("i-1", address="127.0.0.1:9"), 400)
         self.assertIsNone(self.registry.current)
 
     async def test_malformed_heartbeats_are_refused(self):
@@ -142,6 +142,6 @@
     door_class = ReadinessDoor
 
     async def test_status_shows_readiness(self):
-        self.assertEqual((await self.ask(request("/ready")))[0], 200)
+        self.assertEqual((await self.send(request("/ready")))[0], 200)
         self.ready = False
-        self.assertEqual((await self.ask(request("/ready")))[0], 503)
+        self.assertEqual((await self.send(request("/ready")))[0], 503)
