--- a/packages/papayabay-bench/src/papayabay_bench/fleet/__init__.py
+++ b/packages/papayabay-bench/src/papayabay_bench/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Starts and drives a whole small system: platform, daemons, targets."""
+"""Starts and controls a test fleet: platform stand-in, daemons and targets."""
 
 from papayabay_bench.fleet.fleet import Fleet
 from papayabay_bench.fleet.plan import FleetPlan, ServicePlan
--- a/packages/papayabay-bench/src/papayabay_bench/fleet/plan.py
+++ b/packages/papayabay-bench/src/papayabay_bench/fleet/plan.py
@@ -1,4 +1,4 @@
-"""Which services, targets and daemons a fleet consists of."""
+"""Describes the services, targets and daemons of a test fleet."""
 
 from typing import Annotated
 
@@ -10,27 +10,32 @@
 
 
 class ServicePlan(TargetTraits):
-    """One service and the targets that offer it."""
+    """One service and the number of its upstreams."""
 
     name: str
     upstreams: Annotated[int, Field(ge=1, le=500)] = 2
 
 
 class FleetPlan(Strict):
-    """A whole fleet.
+    """Size and settings of a fleet.
 
     Attributes
     ----------
     failure_domains : int
-        Upstreams of a service are spread over them in turn.
+        Number of failure domains; the upstreams of each service are
+        assigned to them round-robin.
     targets_per_process : int
-        A host process carries so many targets, each with its own daemon.
+        Maximum number of targets in one host process. Each target has a
+        daemon of its own.
     entries : int
-        Further daemons without a target; every daemon is an entry anyhow.
+        Number of additional daemons without a target. Every daemon accepts
+        calls from callers, with a target or without.
     python_arguments : list of str
-        Interpreter arguments that start a daemon.
+        Arguments of the Python interpreter that start a daemon.
     limits, timing : dict
-        Overrides of the daemons' settings tables of the same name.
+        Values of the daemons' settings tables of the same name.
+    ready_timeout : float
+        Seconds within which each process has to become ready.
     """
 
     services: list[ServicePlan]
@@ -46,34 +51,34 @@
 
 
 def daemon_names(plan):
-    """Return the daemons' names: one per target, then bare entries."""
-    beside = [
+    """Return the daemons' names: one per target, then those without one."""
+    with_target = [
         target_name(service, index)
         for service in plan.services
         for index in range(service.upstreams)
     ]
-    return beside + [f"entry-{index}" for index in range(plan.entries)]
+    return with_target + [f"entry-{index}" for index in range(plan.entries)]
 
 
 def target_name(service, index):
-    """Return the name of an upstream and of the daemon beside it."""
+    """Return the name that an upstream and its daemon share."""
     return f"{service.name}-{index}"
 
 
-def domain_of(plan, name):
-    """Return the failure domain of a daemon."""
+def failure_domain_of(plan, name):
+    """Return the failure domain of a daemon and its target."""
     index = int(name.rpartition("-")[2])
     return f"domain-{index % plan.failure_domains}"
 
 
 def target_specs(plan, daemon_urls):
-    """Return the specification of every target.
+    """Return the specifications of all targets.
 
     Parameters
     ----------
     plan : FleetPlan
     daemon_urls : dict of str to str
-        Target door of each daemon, by name.
+        URL of each daemon's listener for its target, by daemon name.
     """
     return [
         target_spec(plan, service, target_name(service, index), daemon_urls)
@@ -84,11 +89,11 @@
 
 def target_spec(plan, service, name, daemon_urls):
     """Return the specification of one target."""
-    shared = service.model_dump(exclude={"name", "upstreams"})
+    traits = service.model_dump(exclude={"name", "upstreams"})
     return TargetSpec(
         name=name,
         service=service.name,
         daemon_url=daemon_urls[name],
         seed=plan.seed,
-        **shared,
+        **traits,
     )
--- a/packages/papayabay-bench/src/papayabay_bench/fleet/policy.py
+++ b/packages/papayabay-bench/src/papayabay_bench/fleet/policy.py
@@ -1,4 +1,4 @@
-"""Commits a policy patch as an operator would."""
+"""Commits a policy patch to the platform, as an operator does."""
 
 from papayabay_core.configuration import CommitOutcome, ConfigurationLog, new_patch
 from papayabay_core.platform import HttpObjectStore, HttpTableService
@@ -7,22 +7,24 @@
 
 
 class CommitRefused(Exception):
-    """A patch was stale, or what became of it is unknown."""
+    """A patch was rejected as stale, or its outcome is unknown."""
 
 
 async def commit_patch(settings, changes, expected):
-    """Commit a merge patch over the policy; return the new version.
+    """Commit a JSON merge patch to the policy; return the new version.
 
     Parameters
     ----------
     settings : PlatformSettings
     changes : dict
+        The merge patch.
     expected : int
-        Version that it is written against.
+        Policy version that the patch is based on.
 
     Raises
     ------
     CommitRefused
+        When the patch is stale, or its outcome is unknown.
     """
     table, objects = HttpTableService(settings), HttpObjectStore(settings)
     try:
@@ -32,5 +34,8 @@
         await table.close()
         await objects.close()
     if result.outcome is not CommitOutcome.ACCEPTED:
-        raise CommitRefused(f"{result.outcome.value}, version {result.version}")
+        raise CommitRefused(
+            f"patch not accepted: outcome {result.outcome.value}, "
+            f"version {result.version}"
+        )
     return result.version
--- a/packages/papayabay-bench/src/papayabay_bench/fleet/settings.py
+++ b/packages/papayabay-bench/src/papayabay_bench/fleet/settings.py
@@ -1,10 +1,10 @@
-"""Writes daemons' settings files."""
+"""Builds the daemons' settings and formats them as TOML."""
 
 import json
 
-from papayabay_bench.fleet.plan import domain_of
+from papayabay_bench.fleet.plan import failure_domain_of
 
-VM_PORTS = ("caller_port", "link_port", "gossip_port")
+NETWORK_PORTS = ("caller_port", "link_port", "gossip_port")
 LOOPBACK_PORTS = ("target_port", "status_port")
 CLUSTER = {"name": "bench", "secret": "bench-secret"}
 
@@ -18,11 +18,12 @@
     name : str
     platform_url : str
     ports : dict of str to int
-        Ports that the daemon had before; empty at its first start.
+        Ports to bind, by setting name. A missing port is set to 0, which
+        lets the daemon bind any free one.
     """
-    network = {key: ports.get(key, 0) for key in VM_PORTS}
+    network = {key: ports.get(key, 0) for key in NETWORK_PORTS}
     loopback = {key: ports.get(key, 0) for key in LOOPBACK_PORTS}
-    vm = {"name": name, "failure_domain": domain_of(plan, name)}
+    vm = {"name": name, "failure_domain": failure_domain_of(plan, name)}
     return {
         "vm": vm | network,
         "cluster": CLUSTER,
@@ -35,19 +36,22 @@
 
 
 def platform_urls(url):
-    """Return where the stand-in at a URL offers its two services."""
+    """Return the URLs of the stand-in's table service and object store."""
     return {"table_url": f"{url}/table", "object_url": f"{url}/objects"}
 
 
 def to_toml(tables):
-    """Return tables of plain strings and integers as TOML."""
+    """Return tables of strings and integers as TOML text."""
     return "\n".join(
         line for table, values in tables.items() for line in table_lines(table, values)
     )
 
 
 def table_lines(table, values):
-    """Yield the lines of one table; JSON strings are TOML strings too."""
+    """Yield the TOML lines of one table.
+
+    Values are written as JSON, whose strings and integers are valid TOML.
+    """
     yield f"[{table}]"
     for key, value in values.items():
         yield f"{key} = {json.dumps(value)}"
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/bound.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/bound.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-from papayabay_bench.fleet.plan import domain_of
+from papayabay_bench.fleet.plan import failure_domain_of
 from papayabay_bench.measures.capacity import Graph
 from papayabay_bench.measures.windows import Window
 from papayabay_bench.scenarios.plans import fleet_plan
@@ -127,7 +127,7 @@
     for service in scenario.services.values():
         for number in range(service.upstreams):
             name = f"{service.name}-{number}"
-            if fault.subject in (name, domain_of(plan, name)):
+            if fault.subject in (name, failure_domain_of(plan, name)):
                 yield name
 
 
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/faults.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/faults.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from papayabay_bench.fleet.plan import domain_of
+from papayabay_bench.fleet.plan import failure_domain_of
 from papayabay_core.utils.clock import now
 
 DRAIN_TIMEOUT = 30.0
@@ -91,7 +91,9 @@
         """Lose all daemons and targets of a failure domain."""
         plan, fleet = self.fleet.plan, self.fleet
         names = [
-            name for name in fleet.daemons if domain_of(plan, name) == fault.subject
+            name
+            for name in fleet.daemons
+            if failure_domain_of(plan, name) == fault.subject
         ]
         targets = [name for name in names if name in fleet.host_of]
         if on:
