--- a/packages/papayabay-bench/src/papayabay_bench/fleet/process.py
+++ b/packages/papayabay-bench/src/papayabay_bench/fleet/process.py
@@ -1,4 +1,4 @@
-"""One process of a fleet: its start, its ready line and its end."""
+"""Starts, signals and stops the processes of a fleet."""
 
 import asyncio
 import ctypes
@@ -11,34 +11,41 @@
 
 PR_SET_PDEATHSIG = 1
 LOG_TAIL_BYTES = 4_000
-SAFE_PATH = "-P"
-"""A module of the current directory must not hide one of the library."""
+SAFE_PATH_OPTION = "-P"
+"""Keeps the current directory out of `sys.path`, where a module in it could
+shadow one of the standard library."""
 LIBC = ctypes.CDLL(None)
 
 
 class StartFailed(Exception):
-    """A process ended, or said nothing, before it was ready."""
+    """A process exited or timed out before it was ready."""
 
 
 def die_with_parent():
-    """Have the kernel kill this process when the bench dies.
+    """Make the kernel kill this process when its parent dies.
 
-    A bench that is killed hard runs no clean-up; its daemons would stay
-    behind and load the machine under later measurements.
+    A bench that gets SIGKILL runs no clean-up. Its daemons would keep
+    running and distort later measurements on the same machine.
     """
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class ManagedProcess:
-    """A Python process that prints one JSON line once it is ready.
+    """A Python process that prints a JSON line when it is ready.
 
     Parameters
     ----------
     name : str
     arguments : list of str
-        For the interpreter.
+        Arguments of the Python interpreter.
     log_path : Path
-        Takes standard error, and standard output after the ready line.
+        File that standard error is appended to, and standard output without
+        the ready line.
+
+    Attributes
+    ----------
+    ready : dict
+        Values of the ready line; empty before it.
     """
 
     def __init__(self, name, arguments, log_path):
@@ -46,22 +53,23 @@
         self.arguments = arguments
         self.log_path = Path(log_path)
         self.process = None
-        self.drainer = None
+        self.output_reader = None
         self.ready = {}
 
     async def start(self, timeout):
-        """Start and wait for the ready line, which is returned.
+        """Start the process and return the values of its ready line.
 
         Raises
         ------
         StartFailed
-            With the end of the log.
+            When the process exits before it is ready, with the end of its
+            log, or when it is not ready within the timeout in seconds.
         """
         environment = os.environ | {"UV_USE_IO_URING": "0", "PYTHONUNBUFFERED": "1"}
         with open(self.log_path, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
-                SAFE_PATH,
+                SAFE_PATH_OPTION,
                 *self.arguments,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.PIPE,
@@ -72,12 +80,12 @@
         try:
             self.ready = await asyncio.wait_for(self.read_ready(), timeout)
         except TimeoutError:
-            raise StartFailed(f"{self.name}: not ready in {timeout} s") from None
-        self.drainer = asyncio.create_task(self.drain())
+            raise StartFailed(f"{self.name}: not ready within {timeout} s") from None
+        self.output_reader = asyncio.create_task(self.log_output())
         return self.ready
 
     async def read_ready(self):
-        """Return the first line of output that says ready."""
+        """Return the values of the ready line; log the lines before it."""
         while line := await self.process.stdout.readline():
             with suppress(json.JSONDecodeError):
                 values = json.loads(line)
@@ -85,10 +93,16 @@
                     return values
             self.log(line)
         code = await self.process.wait()
-        raise StartFailed(f"{self.name}: ended with {code}:\n{self.log_tail()}")
+        raise StartFailed(
+            f"{self.name}: exited with code {code} before it was ready:\n"
+            f"{self.log_tail()}"
+        )
 
-    async def drain(self):
-        """Keep the output pipe from filling up, which would block it."""
+    async def log_output(self):
+        """Append standard output to the log until the process closes it.
+
+        A process whose output pipe is full would block on its next write.
+        """
         while chunk := await self.process.stdout.read(65_536):
             self.log(chunk)
 
@@ -98,36 +112,42 @@
             log.write(output)
 
     def log_tail(self):
-        """Return the end of the log."""
+        """Return the last part of the log, at most `LOG_TAIL_BYTES`."""
         content = self.log_path.read_bytes() if self.log_path.exists() else b""
         return content[-LOG_TAIL_BYTES:].decode(errors="replace")
 
     @property
     def running(self):
-        """Whether it was started and has not ended."""
+        """Whether the process was started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
-    def send(self, number):
-        """Send a signal; nothing happens to a process that has ended."""
+    def send(self, signal_number):
+        """Send a signal, if the process is running."""
         if self.running:
             with suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
     async def wait(self, timeout):
-        """Wait for the end and return its exit code, None if it goes on."""
+        """Return the exit code, or None if the process is still running.
+
+        Waits up to `timeout` seconds for the process to exit.
+        """
         try:
             return await asyncio.wait_for(self.process.wait(), timeout)
         except TimeoutError:
             return None
 
-    async def stop(self, grace):
-        """End it: SIGTERM first, SIGKILL after the grace in seconds."""
+    async def stop(self, grace_seconds):
+        """Stop the process with SIGTERM, then SIGKILL after a grace period.
+
+        SIGCONT goes first, since a stopped process would not handle SIGTERM.
+        """
         if not self.running:
             return
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
-        if await self.wait(grace) is None:
+        if await self.wait(grace_seconds) is None:
             self.send(signal.SIGKILL)
             await self.process.wait()
-        if self.drainer:
-            await self.drainer
+        if self.output_reader:
+            await self.output_reader
--- a/packages/papayabay-bench/src/papayabay_bench/fleet/waiting.py
+++ b/packages/papayabay-bench/src/papayabay_bench/fleet/waiting.py
@@ -1,4 +1,4 @@
-"""Bounded waits on something that becomes true."""
+"""Waits for a condition, with a timeout."""
 
 import asyncio
 import time
@@ -7,26 +7,27 @@
 
 
 async def wait_until(condition, timeout, what):
-    """Poll a coroutine function until it returns something true.
+    """Poll a condition until it is true, and return its value.
 
     Parameters
     ----------
     condition : callable
-        Without arguments, returning an awaitable.
+        Takes no arguments and returns an awaitable. Any true value of the
+        awaitable ends the wait.
     timeout : float
         Seconds.
     what : str
-        For the message.
+        Description of the condition for the error message.
 
     Raises
     ------
     TimeoutError
-        When it is still not true; says what was waited for.
+        When the condition is not true within the timeout.
     """
-    ends_at = time.monotonic() + timeout
-    while time.monotonic() < ends_at:
-        found = await condition()
-        if found:
-            return found
+    deadline = time.monotonic() + timeout
+    while time.monotonic() < deadline:
+        value = await condition()
+        if value:
+            return value
         await asyncio.sleep(POLL_SECONDS)
-    raise TimeoutError(f"{what}: not within {timeout} s")
+    raise TimeoutError(f"timed out after {timeout} s waiting for {what}")
