--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/faults.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/faults.py
@@ -95,7 +95,7 @@
             for name in fleet.daemons
             if failure_domain_of(plan, name) == fault.subject
         ]
-        targets = [name for name in names if name in fleet.host_of]
+        targets = [name for name in names if name in fleet.host_by_target]
         if on:
             for name in names:
                 fleet.kill(name)
