--- a/packages/papayabay-bench/src/papayabay_bench/history/clients.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/clients.py
@@ -11,7 +11,7 @@
     BROWSE_PATH,
     CONFIRM_PATH,
     DOCUMENT_PATH,
-    FRONT,
+    FRONT_SERVICE,
 )
 from papayabay_bench.load.client import KEYS_PATH, kind_of
 from papayabay_bench.targets.answers import is_own_answer
@@ -46,7 +46,7 @@
         Targets record the name with each effect, and pass it on.
         """
         headers = {
-            SERVICE_HEADER: FRONT,
+            SERVICE_HEADER: FRONT_SERVICE,
             NONCE_HEADER: self.name,
             REQUEST_HEADER: attempt,
         }
@@ -90,8 +90,8 @@
         if request is None:
             await asyncio.sleep(UNCONNECTED_PAUSE)
             return
-        count = self.plan.at_once if request.key else 1
-        for repeat in range(self.plan.repeats + 1):
+        count = self.plan.concurrent_attempts if request.key else 1
+        for repeat in range(self.plan.retries + 1):
             names = [f"{request.name}/{repeat}.{number}" for number in range(count)]
             ends = await asyncio.gather(
                 *(self.attempt(request, name) for name in names)
@@ -145,7 +145,7 @@
                 request=request.name,
                 key=request.key,
                 entry=entry,
-                service=FRONT,
+                service=FRONT_SERVICE,
                 method=request.method,
                 path=request.path,
                 body_bytes=len(request.body),
--- a/packages/papayabay-bench/src/papayabay_bench/history/faults.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/faults.py
@@ -37,10 +37,10 @@
     async def play(self, fault, starts_at):
         """Play one fault from beginning to end."""
         await asyncio.sleep(max(0.0, starts_at + fault.at - now()))
-        self.recorder.fault_begins(fault.kind, fault.subject)
+        self.recorder.record_fault_begin(fault.kind, fault.subject)
         name = "store" if fault.kind in STORE_FAULTS else fault.kind
         await getattr(self, f"play_{name}")(fault)
-        self.recorder.fault_ends(fault.kind, fault.subject)
+        self.recorder.record_fault_end(fault.kind, fault.subject)
 
     async def play_store(self, fault):
         """Have the store fail for a while."""
@@ -68,7 +68,7 @@
         """End a daemon gracefully and start it again."""
         code = await self.fleet.drain(fault.subject, DRAIN_TIMEOUT)
         if code != 0:
-            self.recorder.fault_begins("undrained", fault.subject)
+            self.recorder.record_fault_begin("undrained", fault.subject)
         await asyncio.sleep(fault.seconds)
         await self.fleet.restart(fault.subject)
 
--- a/packages/papayabay-bench/src/papayabay_bench/history/intervals.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/intervals.py
@@ -12,19 +12,19 @@
 
     kind: str
     subject: str
-    begins: float
-    ends: float
+    start: float
+    end: float
     records: list
 
-    def overlaps(self, begins, ends):
+    def overlaps(self, start, end):
         """Return whether it shares a moment with another stretch."""
-        return self.begins <= ends and begins <= self.ends
+        return self.start <= end and start <= self.end
 
 
 def fault_intervals(history, *kinds):
     """Return the intervals of some kinds of fault, all without any."""
     found, opened = [], {}
-    for fault in history.of(Fault):
+    for fault in history.of_type(Fault):
         if kinds and fault.kind not in kinds:
             continue
         key = (fault.kind, fault.subject)
@@ -33,6 +33,6 @@
             found.append(opened[key])
         elif key in opened:
             interval = opened.pop(key)
-            interval.ends = fault.time
+            interval.end = fault.time
             interval.records.append(fault)
     return found
--- a/packages/papayabay-bench/src/papayabay_bench/history/jobs.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/jobs.py
@@ -10,7 +10,12 @@
 from papayabay_bench.fleet.fleet import Fleet
 from papayabay_bench.fleet.process import StartFailed
 from papayabay_bench.history.records import write_history
-from papayabay_bench.history.run import evaluate, not_recovered, prepare_fleet, run_seed
+from papayabay_bench.history.run import (
+    evaluate,
+    failed_fleet_result,
+    prepare_fleet,
+    run_seed,
+)
 from papayabay_bench.history.summary import seed_line
 from papayabay_bench.history.system import fleet_plan
 from papayabay_bench.history.violations import violation_lines
@@ -57,7 +62,7 @@
             await run_on_fleet(remaining, results, kinds, keep)
         except FLEET_FAULTS as error:
             if len(remaining) == at_start:
-                results.append(not_recovered(remaining.pop(0), error))
+                results.append(failed_fleet_result(remaining.pop(0), error))
                 report(results[-1])
     return results
 
@@ -82,7 +87,7 @@
     try:
         history = await run_seed(fleet, seed, kinds)
     except FLEET_FAULTS as error:
-        return not_recovered(seed, error)
+        return failed_fleet_result(seed, error)
     if keep:
         write_history(history, Path(keep) / f"seed-{seed}.jsonl")
     return evaluate(history)
--- a/packages/papayabay-bench/src/papayabay_bench/history/limits.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/limits.py
@@ -1,35 +1,36 @@
-"""The numbers that the rules compare with."""
+"""Limits that the rules compare a history with."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the system promises in numbers.
+    """Numeric limits that the system has to keep.
 
     Attributes
     ----------
     retries : int
-        Per request, summed over all hops.
-    hold_seconds : float
-        After refusing a more important call, how long a daemon admits no
-        sheddable one; policy's `overload_hold_ms`.
-    leaving_seconds : float
-        After leaving began, until no new work arrives.
-    in_force_seconds : float
-        After a patch was accepted, until it is in force everywhere.
-    gone_seconds : float
-        After a client left, until nothing more is begun for it.
-    life_seconds : float
-        Longest life of a request; policy's `deadline_ms`.
-    life_slack_seconds : float
-        What a busy machine may add before a target notes an arrival.
+        Retries of one request, summed over all hops.
+    overload_hold_seconds : float
+        How long a daemon admits no sheddable call after it refused a more
+        important one; policy's `overload_hold_ms`.
+    deregistration_seconds : float
+        Time from the begin of a target's withdrawal until it gets no new
+        work.
+    propagation_seconds : float
+        Time from a patch's acceptance until it is in force at all daemons.
+    cancellation_seconds : float
+        Time from a client's disconnect until no call is started for it.
+    lifetime_seconds : float
+        Longest lifetime of a request; policy's `deadline_ms`.
+    lifetime_slack_seconds : float
+        Delay that a busy machine may add before a target records an arrival.
     """
 
     retries: int = 3
-    hold_seconds: float = 0.4
-    leaving_seconds: float = 2.0
-    in_force_seconds: float = 6.0
-    gone_seconds: float = 0.5
-    life_seconds: float = 1.0
-    life_slack_seconds: float = 0.3
+    overload_hold_seconds: float = 0.4
+    deregistration_seconds: float = 2.0
+    propagation_seconds: float = 6.0
+    cancellation_seconds: float = 0.5
+    lifetime_seconds: float = 1.0
+    lifetime_slack_seconds: float = 0.3
--- a/packages/papayabay-bench/src/papayabay_bench/history/recorder.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/recorder.py
@@ -20,10 +20,10 @@
         """Add a record."""
         self.records.append(record)
 
-    def fault_begins(self, kind, subject):
+    def record_fault_begin(self, kind, subject):
         """Note that a fault begins now."""
         self.add(Fault(kind, subject, Phase.BEGIN.value, now()))
 
-    def fault_ends(self, kind, subject):
+    def record_fault_end(self, kind, subject):
         """Note that a fault ends now."""
         self.add(Fault(kind, subject, Phase.END.value, now()))
--- a/packages/papayabay-bench/src/papayabay_bench/history/records.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/records.py
@@ -216,7 +216,7 @@
         self.seed = seed
         self.records = sorted(records, key=lambda record: record.time)
 
-    def of(self, *kinds):
+    def of_type(self, *kinds):
         """Return the records of some types, in order of time."""
         return [record for record in self.records if isinstance(record, kinds)]
 
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/asked.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/asked.py
@@ -1,20 +1,20 @@
 """Targets run what a client sent, unchanged, and nothing else."""
 
 from papayabay_bench.history.records import Arrival, Invocation
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "asked"
 
 
 def violations(history, limits):
     """Yield the arrivals that no client sent so."""
-    sent = {one.attempt: one for one in history.of(Invocation)}
-    for arrival in history.of(Arrival):
+    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    for arrival in history.of_type(Arrival):
         invocation = sent.get(arrival.attempt)
         reason = objection(invocation, arrival)
         if reason:
             records = [arrival] if invocation is None else [invocation, arrival]
-            trace = shortest_trace(records)
+            trace = ordered_trace(records)
             yield Violation(RULE, arrival.attempt, reason, trace)
 
 
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/class_order.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/class_order.py
@@ -18,11 +18,11 @@
 
 def violations(history, limits):
     """Yield daemons that admitted in the wrong order."""
-    samples = sorted(history.of(Sample), key=process_of)
+    samples = sorted(history.of_type(Sample), key=process_of)
     for (daemon, _), group in groupby(samples, key=process_of):
         own = sorted(group, key=lambda sample: sample.time)
         for trace in zip(own, own[1:], own[2:], strict=False):
-            if is_inverted(*trace, limits.hold_seconds):
+            if is_inverted(*trace, limits.overload_hold_seconds):
                 reason = "admitted a sheddable call after it refused a critical one"
                 yield Violation(RULE, daemon, reason, list(trace))
 
@@ -32,10 +32,10 @@
     return sample.daemon, sample.life
 
 
-def is_inverted(first, second, third, hold_seconds):
+def is_inverted(first, second, third, overload_hold_seconds):
     """Return whether three samples show the wrong order."""
     return (
         second.critical_refused > first.critical_refused
         and third.sheddable_admitted > second.sheddable_admitted
-        and third.time <= first.asked + hold_seconds
+        and third.time <= first.asked + overload_hold_seconds
     )
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/configuration.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/configuration.py
@@ -8,7 +8,7 @@
     PatchStored,
     PatchSubmitted,
 )
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "configuration"
 ACCEPTED = "accepted"
@@ -17,7 +17,7 @@
 
 def violations(history, limits):
     """Yield lost, doubled, denied and merged patches."""
-    stored = {patch.version: patch for patch in history.of(PatchStored)}
+    stored = {patch.version: patch for patch in history.of_type(PatchStored)}
     yield from two_winners(history)
     yield from wrong_outcomes(history, stored)
     yield from wrong_rows(history, stored)
@@ -27,7 +27,7 @@
 def two_winners(history):
     """Yield the versions that two patches were told to have made."""
     winners = defaultdict(list)
-    for outcome in history.of(PatchOutcome):
+    for outcome in history.of_type(PatchOutcome):
         if outcome.outcome == ACCEPTED:
             winners[outcome.version].append(outcome)
     for version, outcomes in winners.items():
@@ -38,9 +38,9 @@
 
 def wrong_outcomes(history, stored):
     """Yield accepted patches that are not stored, and stale ones that are."""
-    submitted = {patch.patch_id: patch for patch in history.of(PatchSubmitted)}
+    submitted = {patch.patch_id: patch for patch in history.of_type(PatchSubmitted)}
     held = {patch.patch_id: patch for patch in stored.values()}
-    for outcome in history.of(PatchOutcome):
+    for outcome in history.of_type(PatchOutcome):
         patch = submitted.get(outcome.patch_id)
         row = stored.get(outcome.version)
         lost = outcome.outcome == ACCEPTED and (
@@ -52,7 +52,7 @@
         if lost or denied:
             reason = "accepted but not stored" if lost else "called stale but stored"
             records = [patch, outcome, row, held.get(outcome.patch_id)]
-            trace = shortest_trace(one for one in records if one is not None)
+            trace = ordered_trace(one for one in records if one is not None)
             yield Violation(RULE, outcome.patch_id, reason, trace)
 
 
@@ -68,11 +68,11 @@
 def wrong_documents(history, stored):
     """Yield daemons whose values aren't the patches applied in order."""
     made = replay(stored)
-    for document in history.of(Document):
+    for document in history.of_type(Document):
         if document.version in made and document.values != made[document.version]:
             reason = f"version {document.version} isn't its patches applied in order"
             trace = [stored[document.version], document]
-            yield Violation(RULE, document.daemon, reason, shortest_trace(trace))
+            yield Violation(RULE, document.daemon, reason, ordered_trace(trace))
 
 
 def replay(stored):
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/denied.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/denied.py
@@ -1,7 +1,7 @@
 """No daemon denies a proper request for good."""
 
 from papayabay_bench.history.records import Answered, Invocation
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "denied"
 CALLERS_FAULT = range(400, 500)
@@ -12,12 +12,12 @@
 
 def violations(history, limits):
     """Yield the attempts that a daemon itself denied."""
-    sent = {one.attempt: one for one in history.of(Invocation)}
-    for answer in history.of(Answered):
+    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    for answer in history.of_type(Answered):
         if answer.attempt not in sent or not is_denial(answer):
             continue
         reason = f"told {answer.status} ({answer.kind}), though it is proper"
-        trace = shortest_trace([sent[answer.attempt], answer])
+        trace = ordered_trace([sent[answer.attempt], answer])
         yield Violation(RULE, answer.attempt, reason, trace)
 
 
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/draining.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/draining.py
@@ -6,7 +6,7 @@
 
 from papayabay_bench.history.intervals import fault_intervals
 from papayabay_bench.history.records import Answered, Invocation, Outcome
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "draining"
 CUTTING_KINDS = frozenset({"link-lost", "target-lost", "caller-left", "internal"})
@@ -18,16 +18,16 @@
     """Yield the requests that were cut while a daemon drained."""
     drains = fault_intervals(history, "drain")
     hard = fault_intervals(history, *HARD_FAULTS)
-    sent = {one.attempt: one for one in history.of(Invocation)}
-    for answer in history.of(Answered):
+    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    for answer in history.of_type(Answered):
         invocation = sent.get(answer.attempt)
         if invocation is None or not is_cut(answer):
             continue
         drain = drain_over(drains, invocation, answer)
-        begins = invocation.time - HARD_FAULT_SECONDS
-        if drain is None or any(one.overlaps(begins, answer.time) for one in hard):
+        start = invocation.time - HARD_FAULT_SECONDS
+        if drain is None or any(one.overlaps(start, answer.time) for one in hard):
             continue
-        trace = shortest_trace([drain.records[0], invocation, answer])
+        trace = ordered_trace([drain.records[0], invocation, answer])
         reason = f"{answer.outcome} {answer.kind} while {drain.subject} drained"
         yield Violation(RULE, answer.attempt, reason, trace)
 
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/leaving.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/leaving.py
@@ -2,7 +2,7 @@
 
 from papayabay_bench.history.intervals import fault_intervals
 from papayabay_bench.history.records import Arrival
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "leaving"
 LEAVING = ("leave", "drain")
@@ -10,17 +10,17 @@
 
 def violations(history, limits):
     """Yield the calls that began at a target which had left."""
-    arrivals = history.of(Arrival)
+    arrivals = history.of_type(Arrival)
     for interval in fault_intervals(history, *LEAVING):
-        since = interval.begins + limits.leaving_seconds
+        since = interval.start + limits.deregistration_seconds
         late = [
             arrival
             for arrival in arrivals
             if arrival.target == interval.subject
-            and since < arrival.began < interval.ends
+            and since < arrival.began < interval.end
         ]
         for arrival in late[:1]:
-            seconds = arrival.began - interval.begins
+            seconds = arrival.began - interval.start
             reason = f"new work {seconds:.2f} s after it began to leave"
-            trace = shortest_trace([interval.records[0], arrival])
+            trace = ordered_trace([interval.records[0], arrival])
             yield Violation(RULE, interval.subject, reason, trace)
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/lifetimes.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/lifetimes.py
@@ -6,7 +6,7 @@
 
 from papayabay_bench.history.intervals import fault_intervals
 from papayabay_bench.history.records import Arrival, Invocation
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "lifetimes"
 
@@ -14,9 +14,9 @@
 def violations(history, limits):
     """Yield the calls that reached a target after their request's life."""
     pauses = fault_intervals(history, "pause")
-    sent = {one.attempt: one for one in history.of(Invocation)}
-    longest = limits.life_seconds + limits.life_slack_seconds
-    for arrival in history.of(Arrival):
+    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    longest = limits.lifetime_seconds + limits.lifetime_slack_seconds
+    for arrival in history.of_type(Arrival):
         invocation = sent.get(arrival.attempt)
         if invocation is None or arrival.began <= invocation.time + longest:
             continue
@@ -25,5 +25,5 @@
             continue
         seconds = arrival.began - invocation.time
         reason = f"reached {arrival.target} {seconds:.2f} s after it was sent"
-        trace = shortest_trace([invocation, arrival])
+        trace = ordered_trace([invocation, arrival])
         yield Violation(RULE, arrival.attempt, reason, trace)
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/not_run.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/not_run.py
@@ -8,7 +8,7 @@
 from collections import defaultdict
 
 from papayabay_bench.history.records import Answered, Arrival, Effect, Invocation
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "not-run"
 NOT_RUN = "not-run"
@@ -19,14 +19,14 @@
 def violations(history, limits):
     """Yield attempts told not-run for which a target worked."""
     work = defaultdict(list)
-    for record in history.of(Arrival, Effect):
+    for record in history.of_type(Arrival, Effect):
         if not (isinstance(record, Arrival) and record.end in NOTHING_DONE):
             work[record.attempt].append(record)
-    sent = {one.attempt: one for one in history.of(Invocation)}
-    for answer in history.of(Answered):
+    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    for answer in history.of_type(Answered):
         done = work.get(answer.attempt)
         if answer.effect == NOT_RUN and done:
             records = [sent[answer.attempt]] if answer.attempt in sent else []
             records += [answer, *done]
             reason = f"told not-run ({answer.kind}), but {done[0].target} worked on it"
-            yield Violation(RULE, answer.attempt, reason, shortest_trace(records))
+            yield Violation(RULE, answer.attempt, reason, ordered_trace(records))
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/retries.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/retries.py
@@ -8,7 +8,7 @@
 from collections import defaultdict
 
 from papayabay_bench.history.records import Arrival, Invocation
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "retries"
 
@@ -16,9 +16,9 @@
 def violations(history, limits):
     """Yield attempts for which targets saw too many retries."""
     arrivals = defaultdict(lambda: defaultdict(list))
-    for arrival in history.of(Arrival):
+    for arrival in history.of_type(Arrival):
         arrivals[arrival.attempt][arrival.nonce].append(arrival)
-    sent = {one.attempt: one for one in history.of(Invocation)}
+    sent = {one.attempt: one for one in history.of_type(Invocation)}
     for attempt, by_nonce in arrivals.items():
         retries = [one for group in by_nonce.values() for one in group[1:]]
         if len(retries) > limits.retries:
@@ -26,4 +26,4 @@
             records = [one for group in repeated for one in group]
             records += [sent[attempt]] if attempt in sent else []
             reason = f"{len(retries)} retries, at most {limits.retries} are allowed"
-            yield Violation(RULE, attempt, reason, shortest_trace(records))
+            yield Violation(RULE, attempt, reason, ordered_trace(records))
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/versions.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/versions.py
@@ -5,7 +5,7 @@
 from papayabay_bench.history.intervals import fault_intervals
 from papayabay_bench.history.records import PatchOutcome, Sample
 from papayabay_bench.history.rules.class_order import process_of
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "versions"
 ACCEPTED = "accepted"
@@ -14,11 +14,11 @@
 
 def violations(history, limits):
     """Yield daemons that went back to a version or came to one late."""
-    samples = sorted(history.of(Sample), key=process_of)
+    samples = sorted(history.of_type(Sample), key=process_of)
     for (daemon, _), group in groupby(samples, key=process_of):
         own = sorted(group, key=lambda sample: sample.time)
         yield from steps_back(daemon, own)
-        yield from late_versions(history, daemon, own, limits.in_force_seconds)
+        yield from late_versions(history, daemon, own, limits.propagation_seconds)
 
 
 def steps_back(daemon, samples):
@@ -38,14 +38,14 @@
     absences = [
         one for one in fault_intervals(history, *ABSENCES) if one.subject == daemon
     ]
-    accepted = [one for one in history.of(PatchOutcome) if one.outcome == ACCEPTED]
+    accepted = [one for one in history.of_type(PatchOutcome) if one.outcome == ACCEPTED]
     for outcome in accepted:
         for sample in samples:
             since = max(outcome.time, samples[0].time)
             since = max(
-                [since, *(one.ends for one in absences if one.begins <= sample.time)]
+                [since, *(one.end for one in absences if one.start <= sample.time)]
             )
             if sample.version < outcome.version and sample.asked > since + longest:
                 reason = f"version {outcome.version} not in force in {longest} s"
-                yield Violation(RULE, daemon, reason, shortest_trace([outcome, sample]))
+                yield Violation(RULE, daemon, reason, ordered_trace([outcome, sample]))
                 break
--- a/packages/papayabay-bench/src/papayabay_bench/history/run.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/run.py
@@ -28,7 +28,7 @@
 )
 from papayabay_bench.history.system import (
     DEADLINE_MS,
-    HOLD_MS,
+    OVERLOAD_HOLD_MS,
     RETRY_CREDITS,
     policy,
 )
@@ -45,8 +45,8 @@
 """Target hosts write their records out within this time."""
 LIMITS = Limits(
     retries=RETRY_CREDITS,
-    hold_seconds=HOLD_MS / 1_000,
-    life_seconds=DEADLINE_MS / 1_000,
+    overload_hold_seconds=OVERLOAD_HOLD_MS / 1_000,
+    lifetime_seconds=DEADLINE_MS / 1_000,
 )
 
 
@@ -135,7 +135,13 @@
     return [
         RecordingClient(
             f"{name}-c{number}",
-            ClientPlan(SURGE_OPERATIONS, pause_ms=0, repeats=0, at_once=1, seed=number),
+            ClientPlan(
+                SURGE_OPERATIONS,
+                pause_ms=0,
+                retries=0,
+                concurrent_attempts=1,
+                seed=number,
+            ),
             entries,
             session,
             recorder,
@@ -184,21 +190,21 @@
 
 def evaluate(history):
     """Check a history and count what is in it."""
-    begun = [one for one in history.of(Fault) if one.phase == Phase.BEGIN.value]
+    begun = [one for one in history.of_type(Fault) if one.phase == Phase.BEGIN.value]
     return SeedResult(
         seed=history.seed,
-        calls=len(history.of(Invocation)),
+        calls=len(history.of_type(Invocation)),
         answers=Counter(
-            answer.kind or answer.outcome for answer in history.of(Answered)
+            answer.kind or answer.outcome for answer in history.of_type(Answered)
         ),
-        effects=len(history.of(Effect)),
+        effects=len(history.of_type(Effect)),
         faults=Counter(fault.kind for fault in begun),
-        patches=Counter(one.outcome for one in history.of(PatchOutcome)),
+        patches=Counter(one.outcome for one in history.of_type(PatchOutcome)),
         violations=check(history, LIMITS),
     )
 
 
-def not_recovered(seed, error):
+def failed_fleet_result(seed, error):
     """Return the result of a seed whose fleet was, or became, unfit."""
     while isinstance(error, ExceptionGroup):
         error = error.exceptions[0]
--- a/packages/papayabay-bench/src/papayabay_bench/history/schedule.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/schedule.py
@@ -63,17 +63,17 @@
         Drawn from again and again.
     pause_ms : int
         Mean pause between requests.
-    repeats : int
+    retries : int
         Most attempts after the first.
-    at_once : int
+    concurrent_attempts : int
         Attempts of one request that are sent at the same time.
     seed : int
     """
 
     operations: tuple
     pause_ms: int
-    repeats: int
-    at_once: int
+    retries: int
+    concurrent_attempts: int
     seed: int
 
 
@@ -127,8 +127,8 @@
     return ClientPlan(
         operations=tuple(draw(operations)),
         pause_ms=draw(st.sampled_from((0, 5, 20, 60))),
-        repeats=draw(st.integers(0, 3)),
-        at_once=draw(st.integers(1, 3)),
+        retries=draw(st.integers(0, 3)),
+        concurrent_attempts=draw(st.integers(1, 3)),
         seed=draw(st.integers(0, 2**32)),
     )
 
--- a/packages/papayabay-bench/src/papayabay_bench/history/system.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/system.py
@@ -3,8 +3,8 @@
 from papayabay_bench.fleet.plan import FleetPlan, ServicePlan
 from papayabay_bench.targets.specification import CallPath, OutgoingCall, ServiceTime
 
-FRONT = "orders-svc"
-BACK = "stock-svc"
+FRONT_SERVICE = "orders-svc"
+BACK_SERVICE = "stock-svc"
 CONFIRM_PATH = "/orders"
 RESERVE_PATH = "/reserve"
 BROWSE_PATH = "/browse"
@@ -12,7 +12,7 @@
 DOCUMENT_BYTES = 150_000
 DEADLINE_MS = 1_000
 RETRY_CREDITS = 3
-HOLD_MS = 400
+OVERLOAD_HOLD_MS = 400
 SLOTS = 4
 UPSTREAMS = 3
 WORK = ServiceTime(distribution="exponential", mean_ms=4)
@@ -40,14 +40,16 @@
 
 def front_service():
     """Return the service that callers call."""
-    reserve = OutgoingCall(service=BACK, path=RESERVE_PATH, method="POST")
-    browse = OutgoingCall(service=BACK, path=BROWSE_PATH)
+    reserve = OutgoingCall(service=BACK_SERVICE, path=RESERVE_PATH, method="POST")
+    browse = OutgoingCall(service=BACK_SERVICE, path=BROWSE_PATH)
     paths = [
         CallPath(prefix=CONFIRM_PATH, effect=True, work=WORK, calls=[reserve]),
         CallPath(prefix=DOCUMENT_PATH, work=WORK, answer_bytes=DOCUMENT_BYTES),
         CallPath(prefix=BROWSE_PATH, work=WORK, calls=[browse]),
     ]
-    return ServicePlan(name=FRONT, paths=paths, upstreams=UPSTREAMS, slots=SLOTS)
+    return ServicePlan(
+        name=FRONT_SERVICE, paths=paths, upstreams=UPSTREAMS, slots=SLOTS
+    )
 
 
 def back_service():
@@ -56,19 +58,24 @@
         CallPath(prefix=RESERVE_PATH, effect=True, work=WORK),
         CallPath(prefix=BROWSE_PATH, work=WORK),
     ]
-    return ServicePlan(name=BACK, paths=paths, upstreams=UPSTREAMS, slots=SLOTS)
+    return ServicePlan(name=BACK_SERVICE, paths=paths, upstreams=UPSTREAMS, slots=SLOTS)
 
 
 def policy():
     """Return the policy of both services as plain values."""
-    return {"services": {FRONT: declared(CONFIRM_PATH), BACK: declared(RESERVE_PATH)}}
+    return {
+        "services": {
+            FRONT_SERVICE: declared(CONFIRM_PATH),
+            BACK_SERVICE: declared(RESERVE_PATH),
+        }
+    }
 
 
 def declared(effect_path):
     """Return one service's declaration."""
     return {
         "deadline_ms": DEADLINE_MS,
-        "admission": {"overload_hold_ms": HOLD_MS},
+        "admission": {"overload_hold_ms": OVERLOAD_HOLD_MS},
         "retries": {"credits": RETRY_CREDITS, "ratio": 1.0},
         "calls": {
             "effect": {
--- a/packages/papayabay-bench/src/papayabay_bench/history/violations.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/violations.py
@@ -27,7 +27,7 @@
     trace: list = field(default_factory=list)
 
 
-def shortest_trace(records):
+def ordered_trace(records):
     """Return records in order of time, each once."""
     unique = {id(record): record for record in records}.values()
     return sorted(unique, key=lambda record: record.time)
@@ -36,6 +36,6 @@
 def violation_lines(violation, seed):
     """Return a violation as lines for people."""
     yield f"seed {seed}: {violation.rule}: {violation.subject}: {violation.reason}"
-    begins = violation.trace[0].time if violation.trace else 0.0
+    start = violation.trace[0].time if violation.trace else 0.0
     for record in violation.trace:
-        yield f"  {record.time - begins:+9.4f} s  {to_line(record)}"
+        yield f"  {record.time - start:+9.4f} s  {to_line(record)}"
--- a/tests/unit/bench/history_cases.py
+++ b/tests/unit/bench/history_cases.py
@@ -14,7 +14,7 @@
     Sample,
 )
 
-LIMITS = Limits(retries=2, hold_seconds=0.4)
+LIMITS = Limits(retries=2, overload_hold_seconds=0.4)
 
 
 def sent(attempt, at=0.0, key="", entry="e-0"):
--- a/tests/unit/bench/test_history_command.py
+++ b/tests/unit/bench/test_history_command.py
@@ -6,7 +6,7 @@
 
 from papayabay_bench.commands import load_command
 from papayabay_bench.history.records import Effect, History, write_history
-from papayabay_bench.history.run import SeedResult, evaluate, not_recovered
+from papayabay_bench.history.run import SeedResult, evaluate, failed_fleet_result
 from papayabay_bench.history.summary import summary_lines
 
 
@@ -55,7 +55,7 @@
 class SummaryTest(unittest.TestCase):
     def test_sums_of_all_seeds_and_the_seeds_that_failed(self):
         broken = evaluate(History(8, [effect("a", 1.0), effect("b", 2.0)]))
-        lost = not_recovered(9, ExceptionGroup("g", [TimeoutError("not whole")]))
+        lost = failed_fleet_result(9, ExceptionGroup("g", [TimeoutError("not whole")]))
         lines = list(summary_lines([broken, SeedResult(7, calls=5), lost]))
         self.assertIn("calls: 5", lines)
         self.assertIn("effects: 2", lines)
