--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/__init__.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/__init__.py
@@ -1,4 +1,7 @@
-"""One module for each rule; each has a `violations(history, limits)`."""
+"""The rules of a history, one module each.
+
+Each module has a generator function `violations(history, limits)`.
+"""
 
 from papayabay_bench.history.rules import (
     answers,
@@ -31,9 +34,9 @@
     "denied": denied.violations,
     "gone": gone.violations,
 }
-"""Name of each rule and the generator function that finds violations."""
+"""Functions that yield the violations of each rule, by rule name."""
 
 
 def check(history, limits):
-    """Return all violations of all rules."""
+    """Return the violations of all rules in a history."""
     return [violation for rule in RULES.values() for violation in rule(history, limits)]
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/class_order.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/class_order.py
@@ -1,11 +1,12 @@
-"""No sheddable call is admitted just after a critical one was refused.
-
-Only counters are seen, at the times of samples. A critical refusal between
-the first and second of three samples, and a sheddable admission between the
-second and third, are in this order for certain; and if the third was there
-within the hold time of the asking for the first, they are as close together.
-What lies closer to a sample than this shows nothing, so nothing is reported
-that did not happen.
+"""Checks that no sheddable call is admitted soon after a critical refusal.
+
+A history has only samples of the counters, so the rule looks at three
+consecutive samples. When critical refusals grew between the first and the
+second, and sheddable admissions between the second and the third, the
+refusal came first. When the third sample arrived within the hold time after
+the first was requested, the admission was within the hold time too. Other
+inversions can't be proven and are not reported, so that there are no false
+positives.
 """
 
 from itertools import groupby
@@ -17,23 +18,23 @@
 
 
 def violations(history, limits):
-    """Yield daemons that admitted in the wrong order."""
+    """Yield daemons that admitted calls in the wrong order of classes."""
     samples = sorted(history.of_type(Sample), key=process_of)
     for (daemon, _), group in groupby(samples, key=process_of):
         own = sorted(group, key=lambda sample: sample.time)
         for trace in zip(own, own[1:], own[2:], strict=False):
             if is_inverted(*trace, limits.overload_hold_seconds):
-                reason = "admitted a sheddable call after it refused a critical one"
+                reason = "admitted a sheddable call soon after refusing a critical one"
                 yield Violation(RULE, daemon, reason, list(trace))
 
 
 def process_of(sample):
-    """Return what tells one daemon process from all others."""
+    """Return a key that identifies the daemon process of a sample."""
     return sample.daemon, sample.life
 
 
 def is_inverted(first, second, third, overload_hold_seconds):
-    """Return whether three samples show the wrong order."""
+    """Return whether three consecutive samples prove a wrong order."""
     return (
         second.critical_refused > first.critical_refused
         and third.sheddable_admitted > second.sheddable_admitted
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/configuration.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/configuration.py
@@ -1,4 +1,7 @@
-"""Exactly one patch wins each version, and none is lost or merged."""
+"""Checks that policy patches are applied one by one, and none is lost.
+
+Exactly one patch makes each version, and it is based on the version before.
+"""
 
 from collections import defaultdict
 
@@ -16,30 +19,30 @@
 
 
 def violations(history, limits):
-    """Yield lost, doubled, denied and merged patches."""
+    """Yield patches and versions whose outcome contradicts what is stored."""
     stored = {patch.version: patch for patch in history.of_type(PatchStored)}
-    yield from two_winners(history)
+    yield from duplicate_versions(history)
     yield from wrong_outcomes(history, stored)
     yield from wrong_rows(history, stored)
     yield from wrong_documents(history, stored)
 
 
-def two_winners(history):
-    """Yield the versions that two patches were told to have made."""
-    winners = defaultdict(list)
+def duplicate_versions(history):
+    """Yield the versions that several patches were accepted as."""
+    accepted = defaultdict(list)
     for outcome in history.of_type(PatchOutcome):
         if outcome.outcome == ACCEPTED:
-            winners[outcome.version].append(outcome)
-    for version, outcomes in winners.items():
+            accepted[outcome.version].append(outcome)
+    for version, outcomes in accepted.items():
         if len({outcome.patch_id for outcome in outcomes}) > 1:
-            reason = "several patches were accepted as this version"
+            reason = "more than one patch was accepted as this version"
             yield Violation(RULE, f"version {version}", reason, outcomes)
 
 
 def wrong_outcomes(history, stored):
     """Yield accepted patches that are not stored, and stale ones that are."""
     submitted = {patch.patch_id: patch for patch in history.of_type(PatchSubmitted)}
-    held = {patch.patch_id: patch for patch in stored.values()}
+    stored_by_id = {patch.patch_id: patch for patch in stored.values()}
     for outcome in history.of_type(PatchOutcome):
         patch = submitted.get(outcome.patch_id)
         row = stored.get(outcome.version)
@@ -48,44 +51,58 @@
             or row.patch_id != outcome.patch_id
             or (patch is not None and row.base != patch.base)
         )
-        denied = outcome.outcome == STALE and outcome.patch_id in held
+        denied = outcome.outcome == STALE and outcome.patch_id in stored_by_id
         if lost or denied:
-            reason = "accepted but not stored" if lost else "called stale but stored"
-            records = [patch, outcome, row, held.get(outcome.patch_id)]
+            reason = (
+                "accepted, but not stored as this version on its base"
+                if lost
+                else "rejected as stale, but stored"
+            )
+            records = [patch, outcome, row, stored_by_id.get(outcome.patch_id)]
             trace = ordered_trace(one for one in records if one is not None)
             yield Violation(RULE, outcome.patch_id, reason, trace)
 
 
 def wrong_rows(history, stored):
-    """Yield versions without a row, or not written against the one before."""
+    """Yield missing versions, and those not based on the one before."""
     for version in range(1, max(stored, default=0) + 1):
         row = stored.get(version)
         if row is None or row.base != version - 1:
-            reason = "no row" if row is None else f"written against {row.base}"
+            reason = (
+                "no patch is stored for this version"
+                if row is None
+                else f"based on version {row.base}, not {version - 1}"
+            )
             yield Violation(RULE, f"version {version}", reason, [row] if row else [])
 
 
 def wrong_documents(history, stored):
-    """Yield daemons whose values aren't the patches applied in order."""
-    made = replay(stored)
+    """Yield daemons whose values differ from the patches applied in order."""
+    expected = replay(stored)
     for document in history.of_type(Document):
-        if document.version in made and document.values != made[document.version]:
-            reason = f"version {document.version} isn't its patches applied in order"
+        if (
+            document.version in expected
+            and document.values != expected[document.version]
+        ):
+            reason = f"version {document.version} differs from its patches in order"
             trace = [stored[document.version], document]
             yield Violation(RULE, document.daemon, reason, ordered_trace(trace))
 
 
 def replay(stored):
-    """Return the values of each version, made anew from its patches."""
-    made = {0: {}}
+    """Return the values of each version, computed from the patches."""
+    values = {0: {}}
     for version in sorted(stored):
-        if version - 1 in made:
-            made[version] = merged(made[version - 1], stored[version].changes)
-    return made
+        if version - 1 in values:
+            values[version] = merged(values[version - 1], stored[version].changes)
+    return values
 
 
 def merged(target, patch):
-    """Apply a JSON merge patch; on purpose not the code under test."""
+    """Return the result of a JSON merge patch.
+
+    This does not use the system's own implementation, which is under test.
+    """
     if not isinstance(patch, dict):
         return patch
     base = target if isinstance(target, dict) else {}
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/lifetimes.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/lifetimes.py
@@ -1,7 +1,7 @@
-"""Nothing is run for a request whose life has ended.
+"""Checks that no call is run for a request whose lifetime has expired.
 
-A request's life begins when its entry reads it, so one that lay unread at a
-paused entry isn't judged.
+A request's lifetime starts when its entry daemon reads it, so requests that
+waited unread at a paused daemon are left out.
 """
 
 from papayabay_bench.history.intervals import fault_intervals
@@ -12,7 +12,7 @@
 
 
 def violations(history, limits):
-    """Yield the calls that reached a target after their request's life."""
+    """Yield the calls that reached a target after their request expired."""
     pauses = fault_intervals(history, "pause")
     sent = {one.attempt: one for one in history.of_type(Invocation)}
     longest = limits.lifetime_seconds + limits.lifetime_slack_seconds
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/not_run.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/not_run.py
@@ -1,8 +1,8 @@
-"""An attempt that was answered `not-run` was not run.
+"""Checks that an attempt that was answered `not-run` was not run.
 
-The promise speaks of that attempt alone: a repeat may be refused after an
-earlier attempt with the same key has run. Targets record which attempt they
-work for, so the two are told apart.
+The answer is about that attempt only: a retry may be refused after an
+earlier attempt with the same key has run. Targets record the attempt that
+they work for, which distinguishes the two.
 """
 
 from collections import defaultdict
@@ -13,11 +13,11 @@
 RULE = "not-run"
 NOT_RUN = "not-run"
 NOTHING_DONE = frozenset({"shed", "undone"})
-"""How calls end at a target that vouches for having done nothing."""
+"""Ends of a call for which the target states that it did no work."""
 
 
 def violations(history, limits):
-    """Yield attempts told not-run for which a target worked."""
+    """Yield attempts answered `not-run` for which a target did work."""
     work = defaultdict(list)
     for record in history.of_type(Arrival, Effect):
         if not (isinstance(record, Arrival) and record.end in NOTHING_DONE):
@@ -28,5 +28,5 @@
         if answer.effect == NOT_RUN and done:
             records = [sent[answer.attempt]] if answer.attempt in sent else []
             records += [answer, *done]
-            reason = f"told not-run ({answer.kind}), but {done[0].target} worked on it"
+            reason = f"answered not-run ({answer.kind}), but {done[0].target} ran it"
             yield Violation(RULE, answer.attempt, reason, ordered_trace(records))
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/retries.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/retries.py
@@ -1,8 +1,9 @@
-"""Retries for one request stay within its credits, summed over all hops.
+"""Checks that the retries of a request, over all hops, are within its limit.
 
-A nonce names a call's place in the tree of one execution: attempts of the
-same call share it, calls made by another execution have another one. So the
-arrivals of a nonce beyond its first are retries, whichever hop made them.
+A nonce identifies a call within the call tree of one execution: attempts of
+the same call share it, and calls made by another execution have another one.
+All arrivals with the same nonce except the first are therefore retries,
+whichever hop made them.
 """
 
 from collections import defaultdict
@@ -14,7 +15,7 @@
 
 
 def violations(history, limits):
-    """Yield attempts for which targets saw too many retries."""
+    """Yield the attempts with more retries than the limit."""
     arrivals = defaultdict(lambda: defaultdict(list))
     for arrival in history.of_type(Arrival):
         arrivals[arrival.attempt][arrival.nonce].append(arrival)
@@ -25,5 +26,5 @@
             repeated = [group for group in by_nonce.values() if len(group) > 1]
             records = [one for group in repeated for one in group]
             records += [sent[attempt]] if attempt in sent else []
-            reason = f"{len(retries)} retries, at most {limits.retries} are allowed"
+            reason = f"{len(retries)} retries, at most {limits.retries} allowed"
             yield Violation(RULE, attempt, reason, ordered_trace(records))
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/versions.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/versions.py
@@ -1,4 +1,4 @@
-"""Versions only grow at each daemon, and come in force in time."""
+"""Checks that policy versions only increase and come into force in time."""
 
 from itertools import groupby
 
@@ -13,27 +13,27 @@
 
 
 def violations(history, limits):
-    """Yield daemons that went back to a version or came to one late."""
+    """Yield daemons whose version decreased or was not updated in time."""
     samples = sorted(history.of_type(Sample), key=process_of)
     for (daemon, _), group in groupby(samples, key=process_of):
         own = sorted(group, key=lambda sample: sample.time)
-        yield from steps_back(daemon, own)
+        yield from version_decreases(daemon, own)
         yield from late_versions(history, daemon, own, limits.propagation_seconds)
 
 
-def steps_back(daemon, samples):
-    """Yield each fall of a daemon's version."""
+def version_decreases(daemon, samples):
+    """Yield each decrease of a daemon process's version."""
     for before, after in zip(samples, samples[1:], strict=False):
         if after.version < before.version:
-            reason = f"version {after.version} after {before.version}"
+            reason = f"version went back from {before.version} to {after.version}"
             yield Violation(RULE, daemon, reason, [before, after])
 
 
 def late_versions(history, daemon, samples, longest):
-    """Yield the accepted patches that a daemon had not got in time.
+    """Yield the accepted patches that came into force too late at a daemon.
 
-    Time counts from the acceptance, from the first answer of this process
-    and from the end of the daemon's last absence, whichever was last.
+    The time limit starts with the patch's acceptance, the first sample of
+    this process or the end of the daemon's last absence, whichever is last.
     """
     absences = [
         one for one in fault_intervals(history, *ABSENCES) if one.subject == daemon
@@ -46,6 +46,6 @@
                 [since, *(one.end for one in absences if one.start <= sample.time)]
             )
             if sample.version < outcome.version and sample.asked > since + longest:
-                reason = f"version {outcome.version} not in force in {longest} s"
+                reason = f"version {outcome.version} not in force within {longest} s"
                 yield Violation(RULE, daemon, reason, ordered_trace([outcome, sample]))
                 break
