--- a/packages/papayabay-bench/src/papayabay_bench/history/__init__.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/__init__.py
@@ -1,1 +1,1 @@
-"""Histories of concurrent runs with faults, and the rules they must keep."""
+"""Records histories of concurrent runs with faults and checks their rules."""
--- a/packages/papayabay-bench/src/papayabay_bench/history/intervals.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/intervals.py
@@ -1,4 +1,4 @@
-"""Stretches of time in which faults were on."""
+"""Finds the time intervals in which faults were active."""
 
 import math
 from dataclasses import dataclass
@@ -8,7 +8,17 @@
 
 @dataclass(slots=True)
 class Interval:
-    """A fault from its beginning to its end, which may be missing."""
+    """The time in which one fault was active.
+
+    Attributes
+    ----------
+    kind, subject : str
+        As in the `Fault` records.
+    start, end : float
+        On `clock.now()`; the end is infinite when it was not recorded.
+    records : list of Fault
+        The records of the fault's begin and, if there is one, its end.
+    """
 
     kind: str
     subject: str
@@ -17,22 +27,22 @@
     records: list
 
     def overlaps(self, start, end):
-        """Return whether it shares a moment with another stretch."""
+        """Return whether it overlaps the interval from `start` to `end`."""
         return self.start <= end and start <= self.end
 
 
 def fault_intervals(history, *kinds):
-    """Return the intervals of some kinds of fault, all without any."""
-    found, opened = [], {}
+    """Return the intervals of the given kinds of fault, by default of all."""
+    intervals, active = [], {}
     for fault in history.of_type(Fault):
         if kinds and fault.kind not in kinds:
             continue
         key = (fault.kind, fault.subject)
         if fault.phase == Phase.BEGIN.value:
-            opened[key] = Interval(*key, fault.time, math.inf, [fault])
-            found.append(opened[key])
-        elif key in opened:
-            interval = opened.pop(key)
+            active[key] = Interval(*key, fault.time, math.inf, [fault])
+            intervals.append(active[key])
+        elif key in active:
+            interval = active.pop(key)
             interval.end = fault.time
             interval.records.append(fault)
-    return found
+    return intervals
--- a/packages/papayabay-bench/src/papayabay_bench/history/recorder.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/recorder.py
@@ -1,11 +1,11 @@
-"""Collects the records of a run as they come."""
+"""Collects the records of a run while it is in progress."""
 
 from papayabay_bench.history.records import Fault, Phase
 from papayabay_core.utils.clock import now
 
 
 class Recorder:
-    """The records of one run so far.
+    """Holds the records of one run.
 
     Parameters
     ----------
@@ -17,13 +17,13 @@
         self.records = []
 
     def add(self, record):
-        """Add a record."""
+        """Append a record."""
         self.records.append(record)
 
     def record_fault_begin(self, kind, subject):
-        """Note that a fault begins now."""
+        """Record that a fault begins now."""
         self.add(Fault(kind, subject, Phase.BEGIN.value, now()))
 
     def record_fault_end(self, kind, subject):
-        """Note that a fault ends now."""
+        """Record that a fault ends now."""
         self.add(Fault(kind, subject, Phase.END.value, now()))
--- a/packages/papayabay-bench/src/papayabay_bench/history/records.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/records.py
@@ -1,4 +1,4 @@
-"""What happened in a run: typed records, kept as JSON Lines."""
+"""Record types of a history and its file format, JSON Lines."""
 
 import json
 from dataclasses import asdict, dataclass
@@ -6,7 +6,12 @@
 
 
 class Outcome(Enum):
-    """How one attempt ended for its caller."""
+    """How one attempt ended for its caller.
+
+    WRONG: a success status with another call's or a truncated answer.
+    CUT: the connection broke before the answer was complete.
+    UNCONNECTED: no connection could be opened.
+    """
 
     GOOD = "good"
     WRONG = "wrong"
@@ -17,7 +22,7 @@
 
 
 class Phase(Enum):
-    """Whether a fault begins or ends."""
+    """Whether a `Fault` record is the begin or the end of the fault."""
 
     BEGIN = "begin"
     END = "end"
@@ -25,20 +30,20 @@
 
 @dataclass(slots=True)
 class Invocation:
-    """An attempt was sent.
+    """An attempt that a client sent.
 
     Attributes
     ----------
     attempt : str
-        Unique; targets record it with all that is done for the attempt.
+        Unique name; targets record it with all work done for the attempt.
     request : str
-        The same for all attempts of one request; answers repeat it.
+        Name of the request, shared by all its attempts; answers repeat it.
     key : str
-        Idempotency key; empty without one.
+        Idempotency key, or empty.
     entry : str
-        Daemon that it was sent to.
+        Name of the daemon that it was sent to.
     time : float
-        On `clock.now()`, as all times of a history.
+        When it was sent, on `clock.now()` like all times of a history.
     """
 
     attempt: str
@@ -54,18 +59,18 @@
 
 @dataclass(slots=True)
 class Answered:
-    """An attempt ended for its caller.
+    """The end of an attempt, as its caller saw it.
 
     Attributes
     ----------
     outcome : str
         Value of an `Outcome`.
     status : int
-        0 without an answer.
+        HTTP status; 0 without an answer.
     kind : str
-        Error kind of the daemon's own answer; empty for a target's.
+        Error kind of an answer that a daemon made; empty for a target's.
     effect : str
-        What the answer says of the effect.
+        Value of the answer's effect header: whether the call was run.
     """
 
     attempt: str
@@ -78,7 +83,15 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A call arrived at a target; see `targets.records.Execution`."""
+    """A call that arrived at a target; see `targets.records.Execution`.
+
+    Attributes
+    ----------
+    end : str
+        How the call ended inside the target.
+    began, time : float
+        When it arrived and when it ended.
+    """
 
     target: str
     service: str
@@ -93,7 +106,7 @@
 
 @dataclass(slots=True)
 class Effect:
-    """A target took an irreversible effect."""
+    """An irreversible effect that a target performed."""
 
     target: str
     service: str
@@ -105,16 +118,20 @@
 
 @dataclass(slots=True)
 class Sample:
-    """What a daemon said of itself between two times.
+    """Values of a daemon's status page.
+
+    They were valid at some time between the request and the answer.
 
     Attributes
     ----------
     life : int
-        Number of the daemon's process; a restart has a higher one.
+        Process id of the daemon, which changes with each restart.
+    version : int
+        Policy version in force.
     critical_refused, sheddable_admitted : int
-        Admission's counters since the process started.
+        Admission counters since the process started.
     asked, time : float
-        When it was asked and when the answer was there.
+        When the request was sent and when the answer had arrived.
     """
 
     daemon: str
@@ -128,7 +145,7 @@
 
 @dataclass(slots=True)
 class Document:
-    """The policy values that a daemon has in force at the end."""
+    """The policy values in force at a daemon at the end of a run."""
 
     daemon: str
     version: int
@@ -138,7 +155,7 @@
 
 @dataclass(slots=True)
 class PatchSubmitted:
-    """An operator submitted a patch against a version."""
+    """A patch that an operator submitted, based on version `base`."""
 
     patch_id: str
     base: int
@@ -148,7 +165,14 @@
 
 @dataclass(slots=True)
 class PatchOutcome:
-    """An operator was told what became of a patch."""
+    """The outcome of a patch that its operator got.
+
+    Attributes
+    ----------
+    outcome : str
+        Value of a `CommitOutcome`, or "not-written" when the platform
+        failed before the patch was written.
+    """
 
     patch_id: str
     outcome: str
@@ -158,7 +182,7 @@
 
 @dataclass(slots=True)
 class PatchStored:
-    """A patch that the platform's table holds at the end."""
+    """A patch that is stored in the platform's table after a run."""
 
     version: int
     patch_id: str
@@ -169,13 +193,14 @@
 
 @dataclass(slots=True)
 class Fault:
-    """A fault begins or ends.
+    """The begin or the end of an injected fault.
 
     Attributes
     ----------
     kind : str
+        One of the kinds in `schedule.SUBJECTS`, or "undrained".
     subject : str
-        Daemon, target or service; empty for the store.
+        Daemon, target or service that it affects; empty for the store.
     phase : str
         Value of a `Phase`.
     """
@@ -204,7 +229,7 @@
 
 
 class History:
-    """All records of one run in order of time.
+    """All records of one run, sorted by time.
 
     Parameters
     ----------
@@ -217,7 +242,7 @@
         self.records = sorted(records, key=lambda record: record.time)
 
     def of_type(self, *kinds):
-        """Return the records of some types, in order of time."""
+        """Return the records of the given types, sorted by time."""
         return [record for record in self.records if isinstance(record, kinds)]
 
 
@@ -234,12 +259,12 @@
 
 
 def read_history(path):
-    """Return the history of a file.
+    """Read a history from a file.
 
     Raises
     ------
     ValueError
-        With the number of the first line that is no record.
+        When a line is not a record; names the first such line.
     """
     seed, records = 0, []
     with open(path) as file:
--- a/packages/papayabay-bench/src/papayabay_bench/history/violations.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/violations.py
@@ -1,4 +1,4 @@
-"""A broken rule, and the few records that show it."""
+"""Violations of rules, with the records that show them."""
 
 from dataclasses import dataclass, field
 
@@ -7,18 +7,17 @@
 
 @dataclass(slots=True)
 class Violation:
-    """One rule broken once.
+    """One violation of a rule.
 
     Attributes
     ----------
     rule : str
     subject : str
-        The key, attempt, daemon or version that it concerns.
+        Key, attempt, daemon or version that it is about.
     reason : str
-        What was seen and what the rule asks for.
+        What was recorded, and what the rule requires.
     trace : list
-        Records that concern the subject, up to the one that breaks the
-        rule, in order of time.
+        Records that show the violation, sorted by time.
     """
 
     rule: str
@@ -28,13 +27,13 @@
 
 
 def ordered_trace(records):
-    """Return records in order of time, each once."""
+    """Return records sorted by time, without duplicates."""
     unique = {id(record): record for record in records}.values()
     return sorted(unique, key=lambda record: record.time)
 
 
 def violation_lines(violation, seed):
-    """Return a violation as lines for people."""
+    """Yield the text lines of a violation and its trace."""
     yield f"seed {seed}: {violation.rule}: {violation.subject}: {violation.reason}"
     start = violation.trace[0].time if violation.trace else 0.0
     for record in violation.trace:
