--- a/packages/papayabay-bench/src/papayabay_bench/history/clients.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/clients.py
@@ -1,4 +1,4 @@
-"""Concurrent clients that record what they send and what they are told."""
+"""Concurrent clients that record every attempt and its outcome."""
 
 import asyncio
 import random
@@ -24,15 +24,15 @@
 )
 from papayabay_core.utils.clock import now
 
-ATTEMPT_SECONDS = 1.6
-LARGEST_BODY = 4_000
+ATTEMPT_TIMEOUT_SECONDS = 1.6
+MAX_BODY_BYTES = 4_000
 FINAL_STATUSES = frozenset({400, 422})
-UNCONNECTED_PAUSE = 0.02
+NO_KEY_PAUSE_SECONDS = 0.02
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request and what all of its attempts have in common."""
+    """One request, as sent by each of its attempts."""
 
     name: str
     method: str
@@ -41,9 +41,10 @@
     body: bytes
 
     def headers(self, attempt):
-        """Return the headers of an attempt; only its name differs.
+        """Return the headers of an attempt.
 
-        Targets record the name with each effect, and pass it on.
+        Only the attempt's name differs between the attempts of a request.
+        Targets record it with each effect and pass it on in their own calls.
         """
         headers = {
             SERVICE_HEADER: FRONT_SERVICE,
@@ -54,7 +55,7 @@
 
 
 class RecordingClient:
-    """One client of a schedule.
+    """A client that sends the requests of its plan and records them.
 
     Parameters
     ----------
@@ -62,7 +63,7 @@
         Unique over all runs of a fleet.
     plan : ClientPlan
     entries : dict of str to str
-        Caller door of each daemon, by name.
+        URL of each daemon's listener for callers, by daemon name.
     session : aiohttp.ClientSession
     recorder : Recorder
     """
@@ -74,35 +75,38 @@
         self.session = session
         self.recorder = recorder
         self.random = random.Random(plan.seed)
-        self.numbers = 0
+        self.request_count = 0
 
     async def run(self, ends_at):
-        """Send requests until a time; the last one is pursued to its end."""
+        """Send requests until a time; complete the last one after it."""
         while now() < ends_at:
             operation = self.random.choice(self.plan.operations)
-            await self.pursue(operation)
+            await self.send_with_retries(operation)
             pause = self.random.expovariate(1.0) * self.plan.pause_ms / 1_000
             await asyncio.sleep(pause)
 
-    async def pursue(self, operation):
-        """Send one request until it is answered or its repeats are spent."""
+    async def send_with_retries(self, operation):
+        """Send a request until its answer is final or no retry is left."""
         request = await self.new_request(operation)
         if request is None:
-            await asyncio.sleep(UNCONNECTED_PAUSE)
+            await asyncio.sleep(NO_KEY_PAUSE_SECONDS)
             return
         count = self.plan.concurrent_attempts if request.key else 1
-        for repeat in range(self.plan.retries + 1):
-            names = [f"{request.name}/{repeat}.{number}" for number in range(count)]
-            ends = await asyncio.gather(
+        for retry in range(self.plan.retries + 1):
+            names = [f"{request.name}/{retry}.{number}" for number in range(count)]
+            results = await asyncio.gather(
                 *(self.attempt(request, name) for name in names)
             )
-            if any(is_final(end) for end in ends):
+            if any(is_final(result) for result in results):
                 break
         if operation == "conflict":
-            await self.conflict(request)
+            await self.send_conflict(request)
 
-    async def conflict(self, request):
-        """Send another body with the same key; only its own answer will do."""
+    async def send_conflict(self, request):
+        """Send a request with the same key and another body.
+
+        An answer to the first request would be recorded as wrong.
+        """
         other = ClientRequest(
             name=f"{request.name}x",
             method=request.method,
@@ -113,31 +117,34 @@
         await self.attempt(other, f"{other.name}/0.0")
 
     async def new_request(self, operation):
-        """Return the next request; None when no key was to be had."""
-        self.numbers += 1
-        name = f"{self.name}-{self.numbers}"
+        """Return the next request, or None when no key could be minted."""
+        self.request_count += 1
+        name = f"{self.name}-{self.request_count}"
         if operation == "browse":
             return ClientRequest(name, "GET", f"{BROWSE_PATH}/{name}", "", b"")
         if operation == "document":
             return ClientRequest(name, "GET", f"{DOCUMENT_PATH}/{name}", "", b"")
-        key = await self.mint() if operation == "home" else f"key-{name}"
+        key = await self.mint_key() if operation == "home" else f"key-{name}"
         if not key:
             return None
-        body = self.random.randbytes(self.random.randrange(LARGEST_BODY))
+        body = self.random.randbytes(self.random.randrange(MAX_BODY_BYTES))
         return ClientRequest(name, "POST", f"{CONFIRM_PATH}/{name}", key, body)
 
-    async def mint(self):
-        """Return a home-bound key, or "" when the entry gave none."""
+    async def mint_key(self):
+        """Return an idempotency key minted by any daemon, or "".
+
+        The daemon that mints a key owns it: calls with it run there.
+        """
         url = self.random.choice(list(self.entries.values())) + KEYS_PATH
         try:
-            async with asyncio.timeout(ATTEMPT_SECONDS):
-                async with self.session.post(url) as answer:
-                    return (await answer.json())["key"]
+            async with asyncio.timeout(ATTEMPT_TIMEOUT_SECONDS):
+                async with self.session.post(url) as response:
+                    return (await response.json())["key"]
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError, KeyError):
             return ""
 
     async def attempt(self, request, name):
-        """Make one attempt at any entry and record both its ends."""
+        """Send one attempt to any daemon; record it and its outcome."""
         entry = self.random.choice(list(self.entries))
         self.recorder.add(
             Invocation(
@@ -154,7 +161,7 @@
         )
         answered = Answered(name, Outcome.TIMED_OUT.value, 0, "", "", 0.0)
         try:
-            async with asyncio.timeout(ATTEMPT_SECONDS):
+            async with asyncio.timeout(ATTEMPT_TIMEOUT_SECONDS):
                 await self.exchange(self.entries[entry], request, answered)
         except TimeoutError:
             pass
@@ -166,27 +173,27 @@
         self.recorder.add(answered)
         return answered
 
-    async def exchange(self, entry, request, answered):
-        """Send an attempt and fill in what came back."""
+    async def exchange(self, entry_url, request, answered):
+        """Send an attempt and store its response in `answered`."""
         async with self.session.request(
             request.method,
-            entry + request.path,
+            entry_url + request.path,
             headers=request.headers(answered.attempt),
             data=request.body or None,
-        ) as answer:
-            content = await answer.read()
-        answered.status = answer.status
-        answered.effect = answer.headers.get(EFFECT_HEADER, "")
+        ) as response:
+            content = await response.read()
+        answered.status = response.status
+        answered.effect = response.headers.get(EFFECT_HEADER, "")
         answered.outcome = Outcome.ERROR.value
-        if answer.status >= 400:
-            answered.kind = kind_of(answer, content)
+        if response.status >= 400:
+            answered.kind = kind_of(response, content)
             return
-        own = is_own_answer(content, request.name)
-        answered.outcome = (Outcome.GOOD if own else Outcome.WRONG).value
+        is_own = is_own_answer(content, request.name)
+        answered.outcome = (Outcome.GOOD if is_own else Outcome.WRONG).value
 
 
 def is_final(answered):
-    """Return whether a repeat would tell nothing new."""
+    """Return whether a retry could not change the outcome."""
     return answered.outcome in (Outcome.GOOD.value, Outcome.WRONG.value) or (
         answered.status in FINAL_STATUSES
     )
--- a/packages/papayabay-bench/src/papayabay_bench/history/faults.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/faults.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a schedule on a fleet."""
+"""Injects the faults of a schedule into a fleet."""
 
 import asyncio
 import signal
@@ -14,15 +14,17 @@
 }
 SLOW_FACTOR = 40.0
 SHED_ABOVE = 0
-DRAIN_TIMEOUT = 15.0
-LEAVE_SECONDS = 2.0
-"""A leaving target stays away so much longer than the rule's allowance."""
-PAUSE_SECONDS = 1.2
-"""A pause lasts so much longer, so that every request's life ends in it."""
+"""Calls in progress above which targets shed: here at any load."""
+DRAIN_TIMEOUT_SECONDS = 15.0
+EXTRA_LEAVE_SECONDS = 2.0
+"""Added to the time that a target is withdrawn, so that it is longer than
+the `leaving` rule allows for new work."""
+EXTRA_PAUSE_SECONDS = 1.2
+"""Added to a daemon's pause, so that it outlasts every request's deadline."""
 
 
-class FaultPlayer:
-    """Begins and ends faults when they are due, and records both.
+class FaultInjector:
+    """Starts and ends faults at their times and records both.
 
     Parameters
     ----------
@@ -34,64 +36,77 @@
         self.fleet = fleet
         self.recorder = recorder
 
-    async def play(self, fault, starts_at):
-        """Play one fault from beginning to end."""
-        await asyncio.sleep(max(0.0, starts_at + fault.at - now()))
+    async def inject(self, fault, starts_at):
+        """Wait for a fault's time, start it and end it again.
+
+        Parameters
+        ----------
+        fault : PlannedFault
+        starts_at : float
+            When the run started, on `clock.now()`.
+        """
+        await asyncio.sleep(max(0.0, starts_at + fault.start_seconds - now()))
         self.recorder.record_fault_begin(fault.kind, fault.subject)
         name = "store" if fault.kind in STORE_FAULTS else fault.kind
         await getattr(self, f"play_{name}")(fault)
         self.recorder.record_fault_end(fault.kind, fault.subject)
 
     async def play_store(self, fault):
-        """Have the store fail for a while."""
+        """Make the platform's store fail for a while."""
         await self.fleet.platform_faults(**STORE_FAULTS[fault.kind])
-        await asyncio.sleep(fault.seconds)
+        await asyncio.sleep(fault.duration_seconds)
         await self.fleet.platform_faults()
 
     async def play_pause(self, fault):
-        """Stop a daemon for longer than any request lives."""
+        """Suspend a daemon for longer than any request's lifetime."""
         self.fleet.pause(fault.subject)
-        await asyncio.sleep(fault.seconds + PAUSE_SECONDS)
+        await asyncio.sleep(fault.duration_seconds + EXTRA_PAUSE_SECONDS)
         self.fleet.resume(fault.subject)
 
     async def play_kill(self, fault):
-        """Kill a daemon and start it again."""
+        """Kill a daemon with SIGKILL and restart it later."""
         self.fleet.kill(fault.subject)
-        await asyncio.sleep(fault.seconds)
+        await asyncio.sleep(fault.duration_seconds)
         await self.fleet.restart(fault.subject)
 
     async def play_silence(self, fault):
-        """Make a daemon's open links silent, for good."""
+        """Silence a daemon's open links; they do not recover."""
         self.fleet.kill(fault.subject, signal.SIGUSR1)
 
     async def play_drain(self, fault):
-        """End a daemon gracefully and start it again."""
-        code = await self.fleet.drain(fault.subject, DRAIN_TIMEOUT)
+        """Shut a daemon down gracefully and restart it later.
+
+        A shutdown that times out or fails is recorded as "undrained".
+        """
+        code = await self.fleet.drain(fault.subject, DRAIN_TIMEOUT_SECONDS)
         if code != 0:
             self.recorder.record_fault_begin("undrained", fault.subject)
-        await asyncio.sleep(fault.seconds)
+        await asyncio.sleep(fault.duration_seconds)
         await self.fleet.restart(fault.subject)
 
     async def play_crash(self, fault):
-        """Break all of a target's connections; it comes back later."""
+        """Close a target's listener and connections for a while."""
         await self.fleet.control(fault.subject, dead=True)
-        await asyncio.sleep(fault.seconds)
+        await asyncio.sleep(fault.duration_seconds)
         await self.fleet.control(fault.subject, dead=False)
 
     async def play_leave(self, fault):
-        """Withdraw a target's announcement; it works on what it has."""
+        """Withdraw a target's announcement and announce it again later.
+
+        The target completes the calls that it already has.
+        """
         await self.fleet.control(fault.subject, draining=True)
-        await asyncio.sleep(fault.seconds + LEAVE_SECONDS)
+        await asyncio.sleep(fault.duration_seconds + EXTRA_LEAVE_SECONDS)
         await self.fleet.control(fault.subject, draining=False)
 
     async def play_surge(self, fault):
-        """Slow a service down, so that clients outrun it."""
+        """Slow down a service, so that the load exceeds its capacity."""
         await self.fleet.control_service(fault.subject, slow=SLOW_FACTOR)
-        await asyncio.sleep(fault.seconds)
+        await asyncio.sleep(fault.duration_seconds)
         await self.fleet.control_service(fault.subject, slow=1.0)
 
     async def play_shed(self, fault):
-        """Have the targets of a service refuse every call."""
+        """Make the targets of a service refuse every call for a while."""
         await self.fleet.control_service(fault.subject, shed_above=SHED_ABOVE)
-        await asyncio.sleep(fault.seconds)
+        await asyncio.sleep(fault.duration_seconds)
         await self.fleet.control_service(fault.subject, shed_above=None)
--- a/packages/papayabay-bench/src/papayabay_bench/history/observer.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/observer.py
@@ -1,4 +1,4 @@
-"""Asks every daemon again and again what it has in force."""
+"""Polls the daemons' status pages and records samples of them."""
 
 import asyncio
 
@@ -7,9 +7,9 @@
 from papayabay_bench.history.records import Document, Sample
 from papayabay_core.utils.clock import now
 
-PERIOD = 0.08
-SAMPLE_SECONDS = 0.5
-FAULTS = (aiohttp.ClientError, TimeoutError, OSError)
+SAMPLE_PERIOD_SECONDS = 0.08
+SAMPLE_TIMEOUT_SECONDS = 0.5
+SAMPLE_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 class Observer:
@@ -26,47 +26,53 @@
         self.recorder = recorder
 
     async def watch(self, daemon):
-        """Sample one daemon until cancelled; it may be away at times."""
+        """Sample one daemon until cancelled, also while it is restarted."""
         while True:
             await self.sample(daemon)
-            await asyncio.sleep(PERIOD)
+            await asyncio.sleep(SAMPLE_PERIOD_SECONDS)
 
     async def sample(self, daemon):
-        """Sample a daemon once; nothing is recorded without an answer."""
-        life = self.fleet.daemons[daemon].process.pid
-        asked = now()
+        """Record a sample of a daemon, if it answers.
+
+        Nothing is recorded when the process was replaced in the meantime,
+        since the answer could come from either process.
+        """
+        pid = self.fleet.daemons[daemon].process.pid
+        requested_at = now()
         try:
-            async with asyncio.timeout(SAMPLE_SECONDS):
+            async with asyncio.timeout(SAMPLE_TIMEOUT_SECONDS):
                 page = await self.fleet.status(daemon)
-        except FAULTS:
+        except SAMPLE_ERRORS:
             return
-        if self.fleet.daemons[daemon].process.pid != life:
+        if self.fleet.daemons[daemon].process.pid != pid:
             return
-        self.recorder.add(sample_of(daemon, life, page, asked))
+        self.recorder.add(sample_of(daemon, pid, page, requested_at))
 
     async def record_documents(self):
-        """Record the values that each daemon has in force."""
+        """Record the policy values that each daemon has in force."""
         for daemon in self.fleet.daemons:
             url = self.fleet.listener_url(daemon, "status_port") + "/policy"
             page = await self.fleet.exchange("GET", url)
             self.recorder.add(Document(daemon, page["version"], page["values"], now()))
 
 
-def sample_of(daemon, life, page, asked):
+def sample_of(daemon, pid, page, requested_at):
     """Return the sample of a status page.
 
-    Refusals made for a service below say nothing of this daemon's own
-    order: a call that needs no such service may pass. They aren't counted
-    by class, so all of them are left out, and the count may be too low.
+    Calls that are refused because a downstream service is overloaded do not
+    show this daemon's own order of classes: a sheddable call that does not
+    need that service may still be admitted. The status page does not count
+    them by class, so all of them are subtracted from the critical refusals,
+    which may make `critical_refused` too low.
     """
     admission = page["admission"]
     refused = admission["refused"].get("critical/overloaded", 0)
     return Sample(
         daemon=daemon,
-        life=life,
+        life=pid,
         version=page["configuration"]["version"],
         critical_refused=refused - admission["downstream_refused"],
         sheddable_admitted=admission["admitted"].get("sheddable", 0),
-        asked=asked,
+        asked=requested_at,
         time=now(),
     )
--- a/packages/papayabay-bench/src/papayabay_bench/history/operators.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/operators.py
@@ -1,4 +1,4 @@
-"""Operators that race each other with patches against the same version."""
+"""Simulates operators who commit policy patches concurrently."""
 
 import asyncio
 import itertools
@@ -18,7 +18,7 @@
 
 
 class Operators:
-    """Commits patches and records what became of them.
+    """Commits policy patches and records their outcomes.
 
     Parameters
     ----------
@@ -31,18 +31,22 @@
         self.table = HttpTableService(settings)
         self.objects = HttpObjectStore(settings)
         self.log = ConfigurationLog(self.table, self.objects)
-        self.numbers = itertools.count(1)
-        self.unknown = []
+        self.patch_numbers = itertools.count(1)
+        self.unsettled = []
 
     async def __aenter__(self):
         return self
 
-    async def __aexit__(self, *failure):
+    async def __aexit__(self, *exc_info):
         await self.table.close()
         await self.objects.close()
 
     async def race(self, count):
-        """Have so many operators write against what is newest now."""
+        """Commit `count` patches concurrently, all on the newest version.
+
+        At most one of them can be accepted. Does nothing when the newest
+        version can't be read.
+        """
         try:
             base = await self.log.head()
         except PlatformError:
@@ -52,8 +56,12 @@
                 group.create_task(self.submit(base))
 
     async def submit(self, base):
-        """Commit one patch; it moves numbers that change no decision."""
-        number = next(self.numbers)
+        """Commit one patch based on a version and record its outcome.
+
+        It sets a service's routing subset to 12 or more, which with so few
+        upstreams changes no routing decision.
+        """
+        number = next(self.patch_numbers)
         service = (FRONT_SERVICE, BACK_SERVICE)[number % 2]
         subset = 12 + (base + number) % 100
         changes = {"services": {service: {"routing": {"subset": subset}}}}
@@ -62,24 +70,27 @@
         try:
             result = await self.log.commit(patch)
         except PlatformError:
-            self.told(patch.patch_id, NOT_WRITTEN, 0)
+            self.record_outcome(patch.patch_id, NOT_WRITTEN, 0)
             return
         if result.outcome is CommitOutcome.UNKNOWN:
-            self.unknown.append(patch)
-        self.told(patch.patch_id, result.outcome.value, result.version)
+            self.unsettled.append(patch)
+        self.record_outcome(patch.patch_id, result.outcome.value, result.version)
 
-    def told(self, patch_id, outcome, version):
-        """Record what an operator was told."""
+    def record_outcome(self, patch_id, outcome, version):
+        """Record the outcome of a patch as the operator saw it."""
         self.recorder.add(PatchOutcome(patch_id, outcome, version, now()))
 
     async def settle(self):
-        """Settle the patches whose outcome stayed unknown."""
-        for patch in self.unknown:
+        """Determine and record the outcomes of patches left unknown."""
+        for patch in self.unsettled:
             result = await self.log.settle(patch.patch_id, patch.base)
-            self.told(patch.patch_id, result.outcome.value, result.version)
+            self.record_outcome(patch.patch_id, result.outcome.value, result.version)
 
     async def record_stored(self):
-        """Record the patches that are stored; return the newest version."""
+        """Record all stored patches and return their number.
+
+        This is the newest version when no version is missing.
+        """
         patches = await self.log.patches_after(0)
         for patch in patches:
             self.recorder.add(
--- a/packages/papayabay-bench/src/papayabay_bench/history/run.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/run.py
@@ -1,11 +1,11 @@
-"""Runs the schedule of one seed on a fleet and checks its history."""
+"""Runs the schedule of a seed on a fleet and evaluates its history."""
 
 import asyncio
 from collections import Counter
 from dataclasses import dataclass, field
 
 from papayabay_bench.history.clients import RecordingClient
-from papayabay_bench.history.faults import FaultPlayer
+from papayabay_bench.history.faults import FaultInjector
 from papayabay_bench.history.limits import Limits
 from papayabay_bench.history.observer import Observer
 from papayabay_bench.history.operators import Operators
@@ -37,12 +37,12 @@
 from papayabay_bench.targets.records import read_records
 from papayabay_core.utils.clock import now
 
-READY_SECONDS = 20.0
-IN_FORCE_SECONDS = 6.0
+READY_TIMEOUT_SECONDS = 20.0
+PROPAGATION_TIMEOUT_SECONDS = 6.0
 SURGE_CLIENTS = 60
 SURGE_OPERATIONS = ("home", "browse", "browse")
-RECORDS_SECONDS = 0.3
-"""Target hosts write their records out within this time."""
+RECORD_FLUSH_SECONDS = 0.3
+"""Time within which the target hosts flush their records to disk."""
 LIMITS = Limits(
     retries=RETRY_CREDITS,
     overload_hold_seconds=OVERLOAD_HOLD_MS / 1_000,
@@ -52,7 +52,17 @@
 
 @dataclass(slots=True)
 class SeedResult:
-    """What one seed showed."""
+    """Counts and violations of one seed's history.
+
+    Attributes
+    ----------
+    answers : Counter
+        Attempts by error kind, or by outcome where there is no kind.
+    faults : Counter
+        Faults by kind.
+    patches : Counter
+        Patch outcomes by their value.
+    """
 
     seed: int
     calls: int = 0
@@ -64,10 +74,10 @@
 
 
 async def prepare_fleet(fleet):
-    """Commit the policy and wait until every daemon reaches everything."""
-    await fleet.wait_members(READY_SECONDS)
-    await fleet.wait_version(await fleet.apply(policy()), READY_SECONDS)
-    await fleet.wait_services(READY_SECONDS)
+    """Commit the policy and wait until all daemons route to all upstreams."""
+    await fleet.wait_members(READY_TIMEOUT_SECONDS)
+    await fleet.wait_version(await fleet.apply(policy()), READY_TIMEOUT_SECONDS)
+    await fleet.wait_services(READY_TIMEOUT_SECONDS)
 
 
 async def run_seed(fleet, seed, kinds=()):
@@ -76,7 +86,7 @@
     Parameters
     ----------
     fleet : Fleet
-        Ready; it is ready again afterwards.
+        Prepared with `prepare_fleet`; can be used for the next seed after.
     seed : int
     kinds : sequence of str
         Kinds of fault to draw from; all when empty.
@@ -90,25 +100,25 @@
     recorder = Recorder(seed)
     async with Operators(fleet.platform_settings(), recorder) as operators:
         async with new_session() as session:
-            await play(fleet, schedule, recorder, operators, session)
+            await run_schedule(fleet, schedule, recorder, operators, session)
         await operators.settle()
         newest = await operators.record_stored()
-        await fleet.wait_version(newest, IN_FORCE_SECONDS)
+        await fleet.wait_version(newest, PROPAGATION_TIMEOUT_SECONDS)
     await Observer(fleet, recorder).record_documents()
-    await fleet.wait_members(READY_SECONDS)
-    await fleet.wait_services(READY_SECONDS)
-    await asyncio.sleep(RECORDS_SECONDS)
+    await fleet.wait_members(READY_TIMEOUT_SECONDS)
+    await fleet.wait_services(READY_TIMEOUT_SECONDS)
+    await asyncio.sleep(RECORD_FLUSH_SECONDS)
     records = target_records(fleet, f"s{seed}-")
     return History(seed, [*recorder.records, *records])
 
 
-async def play(fleet, schedule, recorder, operators, session):
-    """Run clients, operators and faults at the same time."""
+async def run_schedule(fleet, schedule, recorder, operators, session):
+    """Run the schedule's clients, operators and faults concurrently."""
     observer = Observer(fleet, recorder)
-    player = FaultPlayer(fleet, recorder)
+    injector = FaultInjector(fleet, recorder)
     entries = {name: fleet.caller_url(name) for name in fleet.daemons}
     starts_at = now()
-    watches = [asyncio.create_task(observer.watch(name)) for name in fleet.daemons]
+    watchers = [asyncio.create_task(observer.watch(name)) for name in fleet.daemons]
     try:
         async with asyncio.TaskGroup() as group:
             for number, plan in enumerate(schedule.clients):
@@ -116,22 +126,22 @@
                 client = RecordingClient(name, plan, entries, session, recorder)
                 group.create_task(client.run(starts_at + RUN_SECONDS))
             for fault in schedule.faults:
-                group.create_task(player.play(fault, starts_at))
+                group.create_task(injector.inject(fault, starts_at))
             for number, fault in enumerate(schedule.faults):
                 if fault.kind == "surge":
                     name = f"s{recorder.seed}-surge{number}"
-                    crowd = surge_clients(name, entries, session, recorder)
-                    group.create_task(surge(crowd, fault, starts_at))
-            for at, count in schedule.patches:
-                group.create_task(race_at(operators, starts_at + at, count))
+                    clients = surge_clients(name, entries, session, recorder)
+                    group.create_task(run_surge(clients, fault, starts_at))
+            for offset, count in schedule.patches:
+                group.create_task(race_at(operators, starts_at + offset, count))
     finally:
-        for watch in watches:
-            watch.cancel()
-        await asyncio.gather(*watches, return_exceptions=True)
+        for watcher in watchers:
+            watcher.cancel()
+        await asyncio.gather(*watchers, return_exceptions=True)
 
 
 def surge_clients(name, entries, session, recorder):
-    """Return the clients that come on top while a service is slow."""
+    """Return the additional clients of a `surge` fault."""
     return [
         RecordingClient(
             f"{name}-c{number}",
@@ -150,22 +160,22 @@
     ]
 
 
-async def surge(clients, fault, starts_at):
-    """Let clients come while a fault is on."""
-    await asyncio.sleep(max(0.0, starts_at + fault.at - now()))
-    ends_at = starts_at + fault.at + fault.seconds
+async def run_surge(clients, fault, starts_at):
+    """Run clients while a fault is active."""
+    await asyncio.sleep(max(0.0, starts_at + fault.start_seconds - now()))
+    ends_at = starts_at + fault.start_seconds + fault.duration_seconds
     await asyncio.gather(*(client.run(ends_at) for client in clients))
 
 
-async def race_at(operators, at, count):
-    """Let operators race at a time."""
-    await asyncio.sleep(max(0.0, at - now()))
+async def race_at(operators, time, count):
+    """Commit concurrent patches at a time on `clock.now()`."""
+    await asyncio.sleep(max(0.0, time - now()))
     await operators.race(count)
 
 
 def target_records(fleet, prefix):
-    """Return what the targets recorded of attempts with a prefix."""
-    found = read_records(fleet.record_paths())
+    """Return the targets' records of attempts whose names have a prefix."""
+    records = read_records(fleet.record_paths())
     arrivals = (
         Arrival(
             target=one.target,
@@ -178,19 +188,19 @@
             began=one.time - (one.queued_ms + one.busy_ms) / 1_000,
             time=one.time,
         )
-        for one in found.executions
+        for one in records.executions
     )
     effects = (
         Effect(one.target, one.service, one.request, one.key, one.path, one.time)
-        for one in found.effects
+        for one in records.effects
     )
-    everything = [*arrivals, *effects]
-    return [record for record in everything if record.attempt.startswith(prefix)]
+    all_records = [*arrivals, *effects]
+    return [record for record in all_records if record.attempt.startswith(prefix)]
 
 
 def evaluate(history):
-    """Check a history and count what is in it."""
-    begun = [one for one in history.of_type(Fault) if one.phase == Phase.BEGIN.value]
+    """Return the counts of a history and its violations of the rules."""
+    begins = [one for one in history.of_type(Fault) if one.phase == Phase.BEGIN.value]
     return SeedResult(
         seed=history.seed,
         calls=len(history.of_type(Invocation)),
@@ -198,14 +208,14 @@
             answer.kind or answer.outcome for answer in history.of_type(Answered)
         ),
         effects=len(history.of_type(Effect)),
-        faults=Counter(fault.kind for fault in begun),
+        faults=Counter(fault.kind for fault in begins),
         patches=Counter(one.outcome for one in history.of_type(PatchOutcome)),
         violations=check(history, LIMITS),
     )
 
 
 def failed_fleet_result(seed, error):
-    """Return the result of a seed whose fleet was, or became, unfit."""
+    """Return the result of a seed whose fleet failed or did not recover."""
     while isinstance(error, ExceptionGroup):
         error = error.exceptions[0]
     violation = Violation("recovery", "fleet", f"{type(error).__name__}: {error}")
--- a/packages/papayabay-bench/src/papayabay_bench/history/schedule.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of operations and faults, drawn by hypothesis from a seed."""
+"""Draws the schedule of a run, its operations and faults, from a seed."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,8 @@
 
 RUN_SECONDS = 4.0
 EXAMPLES = 4
-"""Hypothesis tries the simplest schedule first; the last one drawn counts."""
+"""Hypothesis draws the simplest example first, so several are drawn and the
+last one is used."""
 DAEMONS = (
     "orders-svc-0",
     "orders-svc-1",
@@ -35,38 +36,45 @@
     "surge": SERVICES,
     "shed": SERVICES,
 }
-"""Kind of fault and what it may befall."""
+"""Daemons, targets, services or store that each kind of fault can affect."""
 OPERATIONS = ("claimed", "home", "browse", "document", "conflict")
 
 
 class UnknownFault(ValueError):
-    """A kind of fault that the list doesn't hold."""
+    """A kind of fault that `SUBJECTS` doesn't have."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault, when it begins and how long it lasts, in seconds."""
+    """A fault of a schedule.
+
+    Attributes
+    ----------
+    start_seconds : float
+        Time from the start of the run.
+    duration_seconds : float
+    """
 
     kind: str
     subject: str
-    at: float
-    seconds: float
+    start_seconds: float
+    duration_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class ClientPlan:
-    """One client, which sends one request after another.
+    """Parameters of a client, which sends one request after another.
 
     Attributes
     ----------
     operations : tuple of str
-        Drawn from again and again.
+        Each request's operation is drawn from them at random.
     pause_ms : int
         Mean pause between requests.
     retries : int
-        Most attempts after the first.
+        Maximum number of retries of a request.
     concurrent_attempts : int
-        Attempts of one request that are sent at the same time.
+        Attempts of a request with a key that are sent at the same time.
     seed : int
     """
 
@@ -79,12 +87,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """All that happens in one run.
+    """The clients, faults and policy patches of one run.
 
     Attributes
     ----------
+    clients : tuple of ClientPlan
+    faults : tuple of PlannedFault
     patches : tuple of (float, int)
-        When operators race each other with a patch, and how many do.
+        Seconds from the start of the run, and number of operators who
+        commit a patch concurrently at that time.
     """
 
     clients: tuple
@@ -93,22 +104,23 @@
 
 
 def validate_kinds(kinds):
-    """Return kinds of fault, all without any.
+    """Return kinds of fault as a tuple; all kinds if none is given.
 
     Raises
     ------
     UnknownFault
+        When a kind is unknown; lists the known ones.
     """
     unknown = sorted(set(kinds) - set(SUBJECTS))
     if unknown:
         known = ", ".join(SUBJECTS)
-        raise UnknownFault(f"unknown fault {unknown[0]}; there are {known}")
+        raise UnknownFault(f"unknown fault {unknown[0]}; known faults: {known}")
     return tuple(kinds) or tuple(SUBJECTS)
 
 
-def tenths(least, most):
-    """Return a strategy of times in tenths of a second."""
-    return st.integers(round(least * 10), round(most * 10)).map(lambda n: n / 10)
+def tenths(minimum, maximum):
+    """Return a strategy for seconds in steps of a tenth."""
+    return st.integers(round(minimum * 10), round(maximum * 10)).map(lambda n: n / 10)
 
 
 @st.composite
@@ -116,13 +128,13 @@
     """Draw one fault."""
     kind = draw(st.sampled_from(kinds))
     subject = draw(st.sampled_from(SUBJECTS[kind]))
-    at, seconds = draw(tenths(0.3, 2.0)), draw(tenths(0.4, 2.2))
-    return PlannedFault(kind, subject, at, seconds)
+    start, duration = draw(tenths(0.3, 2.0)), draw(tenths(0.4, 2.2))
+    return PlannedFault(kind, subject, start, duration)
 
 
 @st.composite
 def client_plans(draw):
-    """Draw one client."""
+    """Draw the plan of one client."""
     operations = st.lists(st.sampled_from(OPERATIONS), min_size=2, max_size=6)
     return ClientPlan(
         operations=tuple(draw(operations)),
@@ -135,22 +147,23 @@
 
 @st.composite
 def schedules(draw, kinds):
-    """Draw a whole schedule: one to three faults, often two at once."""
+    """Draw a schedule with one to three faults, which often overlap."""
     clients = draw(st.lists(client_plans(), min_size=6, max_size=12))
     faults = draw(st.lists(planned_faults(kinds), min_size=1, max_size=3))
     races = st.tuples(tenths(0.2, 3.0), st.integers(1, 4))
     patches = draw(st.lists(races, min_size=1, max_size=5))
-    return Schedule(tuple(clients), disjoint(faults), tuple(patches))
+    return Schedule(tuple(clients), one_per_subject(faults), tuple(patches))
 
 
-def disjoint(faults):
-    """Leave one fault out of each two that would undo each other.
+def one_per_subject(faults):
+    """Return at most one fault for each subject, sorted by start.
 
-    A daemon that is paused can't be drained, and the store stand-in has one
-    set of switches. Faults of different subjects overlap freely.
+    Two faults of one subject would interfere: a paused daemon can't be
+    drained, and the store stand-in replaces its faults as a whole. Faults of
+    different subjects may overlap.
     """
     kept = {fault.subject: fault for fault in faults}
-    return tuple(sorted(kept.values(), key=lambda fault: fault.at))
+    return tuple(sorted(kept.values(), key=lambda fault: fault.start_seconds))
 
 
 def draw_schedule(seed, kinds=()):
@@ -161,6 +174,10 @@
     seed : int
     kinds : sequence of str
         Kinds of fault to draw from; all when empty.
+
+    Raises
+    ------
+    UnknownFault
     """
     drawn = []
 
@@ -173,8 +190,8 @@
         suppress_health_check=list(HealthCheck),
     )
     @hypothesis.given(schedules(validate_kinds(kinds)))
-    def take(schedule):
+    def collect(schedule):
         drawn.append(schedule)
 
-    take()
+    collect()
     return drawn[-1]
--- a/packages/papayabay-bench/src/papayabay_bench/history/silenced.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/silenced.py
@@ -1,9 +1,9 @@
-"""Runs a daemon whose open links can be made silent by a signal.
+"""Runs a daemon that black-holes its open links on a signal.
 
-After `SIGUSR1` every link then open neither sends nor receives, as when
-something between the two ends has lost track of the connection. New links
-work. Neither end is told: a link that this daemon gives up is kept open at
-its socket for a while. All else is the daemon as it is.
+On `SIGUSR1` every open link stops to send and receive, as when a firewall
+between the two daemons has dropped the connection's state. New links work.
+Neither side sees the connection close: when this daemon aborts such a link,
+its socket is kept open for a while. Everything else is the unchanged daemon.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from papayabay_daemon import daemon as daemon_module
 from papayabay_daemon.main import main
 
-FORGET_SECONDS = 20.0
+SOCKET_CLOSE_DELAY_SECONDS = 20.0
 
 
 class SilentTransport:
-    """A transport whose bytes vanish in both directions.
+    """A transport that discards all bytes in both directions.
 
     Parameters
     ----------
@@ -36,20 +36,24 @@
         return getattr(self.transport, name)
 
     def write(self, frame):
-        """Lose what is sent."""
+        """Discard the frame."""
 
     def is_closing(self):
-        """Return whether its user has given it up."""
+        """Return whether the link has closed or aborted the transport."""
         return self.closed
 
     def abort(self):
-        """End the link here only; the other end hears nothing."""
+        """Report the connection as lost to this side's protocol only.
+
+        The socket is closed after a delay, so that the peer does not see
+        the connection close.
+        """
         if self.closed:
             return
         self.closed = True
         loop = asyncio.get_running_loop()
         loop.call_soon(self.protocol.connection_lost, None)
-        loop.call_later(FORGET_SECONDS, self.transport.abort)
+        loop.call_later(SOCKET_CLOSE_DELAY_SECONDS, self.transport.abort)
 
     close = abort
 
@@ -58,13 +62,13 @@
     """A daemon that silences its open links on `SIGUSR1`."""
 
     async def start(self):
-        """Start, and wait for the signal from now on."""
+        """Start the daemon and install the signal handler."""
         await super().start()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGUSR1, self.silence)
 
     def silence(self):
-        """Make every open link silent."""
+        """Replace the transport of every open link by a silent one."""
         for link in list(self.links.all_links):
             if not isinstance(link.transport, SilentTransport):
                 link.transport = SilentTransport(link.transport, link)
--- a/packages/papayabay-bench/src/papayabay_bench/history/system.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/system.py
@@ -1,4 +1,4 @@
-"""The small system that histories are recorded on."""
+"""Defines the fleet and the policy that histories are recorded with."""
 
 from papayabay_bench.fleet.plan import FleetPlan, ServicePlan
 from papayabay_bench.targets.specification import CallPath, OutgoingCall, ServiceTime
@@ -24,11 +24,12 @@
     "suspicion_ms": 1_000,
     "config_poll_ms": 200,
 }
-"""Short periods, so that a run of seconds sees detection and recovery."""
+"""Short periods, so that a run of a few seconds includes the detection of
+faults and the recovery from them."""
 
 
 def fleet_plan(seed):
-    """Return the plan: two services of three upstreams, and a bare entry."""
+    """Return a plan of two services and one daemon without a target."""
     return FleetPlan(
         services=[front_service(), back_service()],
         entries=1,
@@ -39,7 +40,7 @@
 
 
 def front_service():
-    """Return the service that callers call."""
+    """Return the plan of the service that clients call."""
     reserve = OutgoingCall(service=BACK_SERVICE, path=RESERVE_PATH, method="POST")
     browse = OutgoingCall(service=BACK_SERVICE, path=BROWSE_PATH)
     paths = [
@@ -53,7 +54,7 @@
 
 
 def back_service():
-    """Return the service that the first one calls."""
+    """Return the plan of the service that the front service calls."""
     paths = [
         CallPath(prefix=RESERVE_PATH, effect=True, work=WORK),
         CallPath(prefix=BROWSE_PATH, work=WORK),
@@ -62,17 +63,17 @@
 
 
 def policy():
-    """Return the policy of both services as plain values."""
+    """Return the policy of both services, as values of a policy document."""
     return {
         "services": {
-            FRONT_SERVICE: declared(CONFIRM_PATH),
-            BACK_SERVICE: declared(RESERVE_PATH),
+            FRONT_SERVICE: service_policy(CONFIRM_PATH),
+            BACK_SERVICE: service_policy(RESERVE_PATH),
         }
     }
 
 
-def declared(effect_path):
-    """Return one service's declaration."""
+def service_policy(effect_path):
+    """Return the policy of a service whose POST calls have an effect."""
     return {
         "deadline_ms": DEADLINE_MS,
         "admission": {"overload_hold_ms": OVERLOAD_HOLD_MS},
--- a/tests/unit/bench/test_history_schedule.py
+++ b/tests/unit/bench/test_history_schedule.py
@@ -21,7 +21,12 @@
     def test_seeds_differ_and_two_faults_come_at_once(self):
         self.assertGreater(len(set(self.drawn)), len(SEEDS) * 3 // 4)
         pairs = [s.faults for s in self.drawn if len(s.faults) > 1]
-        self.assertTrue(any(two[1].at < two[0].at + two[0].seconds for two in pairs))
+        self.assertTrue(
+            any(
+                two[1].start_seconds < two[0].start_seconds + two[0].duration_seconds
+                for two in pairs
+            )
+        )
 
     def test_faults_of_one_subject_never_overlap(self):
         for schedule in self.drawn:
@@ -35,7 +40,7 @@
 
     def test_unknown_kinds_are_refused_by_name(self):
         self.assertEqual(validate_kinds([]), tuple(SUBJECTS))
-        with self.assertRaisesRegex(UnknownFault, "flood; there are store-down"):
+        with self.assertRaisesRegex(UnknownFault, "flood; known faults: store-down"):
             validate_kinds(["kill", "flood"])
 
 
