--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/not_run.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/not_run.py
@@ -28,5 +28,5 @@
         if answer.effect == NOT_RUN and done:
             records = [sent[answer.attempt]] if answer.attempt in sent else []
             records += [answer, *done]
-            reason = f"answered not-run ({answer.kind}), but {done[0].target} did work for it"
+            reason = f"answered not-run ({answer.kind}), but {done[0].target} ran it"
             yield Violation(RULE, answer.attempt, reason, ordered_trace(records))
