--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/bound.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/bound.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Piece:
+class Segment:
     """A stretch in which capacity and faults stay the same.
 
     Attributes
@@ -42,10 +42,10 @@
     offered: dict[str, float]
     needs: dict[str, dict[str, float]]
     slots: dict[str, int]
-    possible: dict[str, float] = field(default_factory=dict)
+    achievable: dict[str, float] = field(default_factory=dict)
 
 
-def pieces(scenario, requests, whole):
+def segments(scenario, requests, whole):
     """Return the pieces of a run.
 
     Parameters
@@ -56,30 +56,34 @@
         The load.
     """
     marks = {0.0, scenario.seconds}
-    marks |= {mark for fault in scenario.faults for mark in (fault.at, fault.ends)}
+    marks |= {
+        mark
+        for fault in scenario.faults
+        for mark in (fault.start_seconds, fault.end_seconds)
+    }
     if scenario.trigger:
         marks |= set(scenario.trigger)
     kept = sorted(mark for mark in marks if 0.0 <= mark <= scenario.seconds)
     return [
-        make_piece(scenario, requests, whole, begins, ends)
+        make_segment(scenario, requests, whole, begins, ends)
         for begins, ends in pairwise(kept)
         if ends - begins > FULL
     ]
 
 
-def make_piece(scenario, requests, whole, begins, ends):
+def make_segment(scenario, requests, whole, begins, ends):
     """Return the piece between two times of the load."""
     moment = (begins + ends) / 2
-    faults = [fault for fault in scenario.faults if fault.holds(moment)]
+    faults = [fault for fault in scenario.faults if fault.is_active(moment)]
     plan = fleet_plan(scenario, 0)
     window = Window(whole.begins + begins, whole.begins + ends)
-    made = Piece(
+    made = Segment(
         window=window,
         offered=offered_rates(requests, window),
         needs=needs_of_calls(scenario, plan, slow_factors(faults)),
         slots=slots_left(scenario, plan, faults),
     )
-    made.possible = fill(scenario, made)
+    made.achievable = fill(scenario, made)
     return made
 
 
@@ -121,7 +125,7 @@
 
 def taken_away(scenario, plan, fault):
     """Yield the upstreams that a fault takes away while it lasts."""
-    drained = fault.kind == "drain" and fault.seconds is not None
+    drained = fault.kind == "drain" and fault.duration_seconds is not None
     if fault.kind not in CUTTING and not drained:
         return
     for service in scenario.services.values():
@@ -131,18 +135,18 @@
                 yield name
 
 
-def fill(scenario, piece):
+def fill(scenario, segment):
     """Return the requests per second of each call that fit, by class."""
-    room = dict(piece.slots)
-    possible = {}
+    room = dict(segment.slots)
+    achievable = {}
     for importance in CLASSES:
         names = [
             name
-            for name, rate in piece.offered.items()
+            for name, rate in segment.offered.items()
             if rate and importance_of(scenario, name) == importance
         ]
-        possible |= fill_class(piece, names, room)
-    return possible
+        achievable |= fill_class(segment, names, room)
+    return achievable
 
 
 def importance_of(scenario, name):
@@ -151,12 +155,12 @@
     return scenario.services[service].calls[call].importance
 
 
-def fill_class(piece, names, room):
+def fill_class(segment, names, room):
     """Fill in the calls of one class and take their needs out of the room."""
     shares = dict.fromkeys(names, 0.0)
     growing = set(names)
     while growing:
-        load = load_of(piece, growing)
+        load = load_of(segment, growing)
         grown = growth(load, room, 1.0 - max(shares[name] for name in growing))
         for name in growing:
             shares[name] += grown
@@ -166,18 +170,18 @@
         stopped = {
             name
             for name in growing
-            if shares[name] >= 1.0 - FULL or full & set(piece.needs[name])
+            if shares[name] >= 1.0 - FULL or full & set(segment.needs[name])
         }
         growing -= stopped
-    return {name: piece.offered[name] * share for name, share in shares.items()}
+    return {name: segment.offered[name] * share for name, share in shares.items()}
 
 
-def load_of(piece, names):
+def load_of(segment, names):
     """Return the slots that the whole offer of some calls would take."""
     load = defaultdict(float)
     for name in names:
-        for service, seconds in piece.needs[name].items():
-            load[service] += seconds * piece.offered[name]
+        for service, seconds in segment.needs[name].items():
+            load[service] += seconds * segment.offered[name]
     return {service: needed for service, needed in load.items() if needed}
 
 
@@ -188,7 +192,7 @@
     )
 
 
-def possible_rate(found, window, importance=None, scenario=None):
+def achievable_rate(found, window, importance=None, scenario=None):
     """Return the mean requests per second that fit within a window."""
     total = 0.0
     for one in found:
@@ -198,7 +202,7 @@
             continue
         total += (ends - begins) * sum(
             rate
-            for name, rate in one.possible.items()
+            for name, rate in one.achievable.items()
             if importance is None or importance_of(scenario, name) == importance
         )
     return total / window.seconds if window.seconds else 0.0
@@ -206,21 +210,21 @@
 
 def explain(found, begins):
     """Return lines that say how the bound of each piece was computed."""
-    return [line for piece in found for line in explain_piece(piece, begins)]
+    return [line for segment in found for line in explain_segment(segment, begins)]
 
 
-def explain_piece(piece, begins):
+def explain_segment(segment, begins):
     """Yield the lines of one piece, its fullest service first."""
-    window = piece.window
-    offered = sum(piece.offered.values())
-    possible = sum(piece.possible.values())
+    window = segment.window
+    offered = sum(segment.offered.values())
+    achievable = sum(segment.achievable.values())
     yield (
         f"{window.begins - begins:5.1f} s to {window.ends - begins:.1f} s: "
-        f"offered {offered:.0f}/s, at best {possible:.0f}/s"
+        f"offered {offered:.0f}/s, at best {achievable:.0f}/s"
     )
-    load = load_of(piece, piece.offered)
-    for service in sorted(load, key=lambda name: piece.slots[name] / load[name]):
-        slots = piece.slots[service]
+    load = load_of(segment, segment.offered)
+    for service in sorted(load, key=lambda name: segment.slots[name] / load[name]):
+        slots = segment.slots[service]
         per_request = load[service] / offered
         yield (
             f"    {service}: {slots} slots ÷ {per_request * 1_000:.1f} ms a request "
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/check.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/check.py
@@ -2,10 +2,10 @@
 
 from itertools import chain, combinations
 
-from papayabay_bench.scenarios.errors import Place, ScenarioError
+from papayabay_bench.scenarios.errors import Position, ScenarioError
 from papayabay_bench.scenarios.expectations import check_expectation
 
-FIRST = Place(1, 1)
+FIRST = Position(1, 1)
 SHARE_TOLERANCE = 0.001
 
 
@@ -33,31 +33,31 @@
         check_expectation(scenario, expectation)
 
 
-def require(holds, sentence, place):
+def require(holds, message, position):
     """Raise unless something holds."""
     if not holds:
-        raise ScenarioError(sentence, place)
+        raise ScenarioError(message, position)
 
 
 def check_service(scenario, service):
     """Check a service and its calls."""
-    require(service.calls, f"Service {service.name} has no call.", service.place)
-    require(service.upstreams >= 1, "A service needs an upstream.", service.place)
-    require(service.slots >= 1, "An upstream needs a slot.", service.place)
+    require(service.calls, f"Service {service.name} has no call.", service.position)
+    require(service.upstreams >= 1, "A service needs an upstream.", service.position)
+    require(service.slots >= 1, "An upstream needs a slot.", service.position)
     for call in service.calls.values():
         for step in call.steps:
             check_callname(scenario, step)
     for one, other in combinations(service.calls.values(), 2):
-        sentence = f"{one.name} and {other.name} begin with the same path."
-        require(one.prefix != other.prefix, sentence, other.place)
+        message = f"{one.name} and {other.name} begin with the same path."
+        require(one.prefix != other.prefix, message, other.position)
 
 
 def check_callname(scenario, named):
     """Check that a call that is named exists."""
     service = scenario.services.get(named.service)
-    require(service, f"There is no service {named.service}.", named.place)
-    sentence = f"Service {named.service} has no call {named.call}."
-    require(named.call in service.calls, sentence, named.place)
+    require(service, f"There is no service {named.service}.", named.position)
+    message = f"Service {named.service} has no call {named.call}."
+    require(named.call in service.calls, message, named.position)
 
 
 def check_endless(scenario):
@@ -69,32 +69,32 @@
 
 def follow(scenario, call, above):
     """Walk down from a call."""
-    sentence = f"Call {call.name} reaches itself again."
-    require(all(call is not one for one in above), sentence, call.place)
+    message = f"Call {call.name} reaches itself again."
+    require(all(call is not one for one in above), message, call.position)
     for step in call.steps:
         follow(scenario, scenario.call(step), (*above, call))
 
 
 def check_load(scenario, load):
     """Check a load's mix and length."""
-    require(load.mix, f"Load {load.name} has no mix.", load.place)
-    require(load.stretches, f"Load {load.name} has no rate.", load.place)
+    require(load.mix, f"Load {load.name} has no mix.", load.position)
+    require(load.phases, f"Load {load.name} has no rate.", load.position)
     for share in load.mix:
         check_callname(scenario, share)
     total = sum(share.percent for share in load.mix)
-    sentence = f"The shares of load {load.name} sum to {total:.1%}, not 100 %."
-    require(abs(total - 1.0) < SHARE_TOLERANCE, sentence, load.place)
+    message = f"The shares of load {load.name} sum to {total:.1%}, not 100 %."
+    require(abs(total - 1.0) < SHARE_TOLERANCE, message, load.position)
 
 
 def check_fault(scenario, fault):
     """Check that a fault happens to something that exists, in time."""
     known = subjects(scenario, fault)
-    sentence = f"There is no {fault.subject}; there is {', '.join(sorted(known))}."
-    require(fault.subject in known, sentence, fault.place)
-    sentence = "The fault begins after the load has ended."
-    require(fault.at < scenario.seconds, sentence, fault.place)
+    message = f"There is no {fault.subject}; there is {', '.join(sorted(known))}."
+    require(fault.subject in known, message, fault.position)
+    message = "The fault begins after the load has ended."
+    require(fault.start_seconds < scenario.seconds, message, fault.position)
     if fault.kind in ("slow", "surge"):
-        require(fault.value > 0, "A factor is more than 0.", fault.place)
+        require(fault.value > 0, "A factor is more than 0.", fault.position)
 
 
 def subjects(scenario, fault):
@@ -122,10 +122,13 @@
 def check_overlaps(faults):
     """Check that no switch is thrown twice at a time."""
     for one, other in combinations(faults, 2):
-        apart = one.ends <= other.at or other.ends <= one.at
+        apart = (
+            one.end_seconds <= other.start_seconds
+            or other.end_seconds <= one.start_seconds
+        )
         same = switch_of(one) == switch_of(other)
-        sentence = f"The fault of line {one.place.line} is still in force."
-        require(apart or not same or one.kind == "surge", sentence, other.place)
+        message = f"The fault of line {one.position.line} is still in force."
+        require(apart or not same or one.kind == "surge", message, other.position)
 
 
 def switch_of(fault):
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/errors.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/errors.py
@@ -1,34 +1,34 @@
-"""The one error that a faulty scenario raises."""
+"""The error that an invalid scenario raises."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where in a scenario file something stands, counted from 1."""
+class Position:
+    """A position in a scenario file; line and column start at 1."""
 
     line: int
     column: int
 
 
 class ScenarioError(Exception):
-    """A scenario that can't be read.
+    """A scenario file that can't be read or is invalid.
 
     Parameters
     ----------
-    sentence : str
+    message : str
         What is wrong, in one sentence.
-    place : Place
+    position : Position
     source : str
-        File name; may be filled in later.
+        Name of the file; the parser sets it when it is not known yet.
     """
 
-    def __init__(self, sentence, place, source=""):
-        super().__init__(sentence)
-        self.sentence = sentence
-        self.place = place
+    def __init__(self, message, position, source=""):
+        super().__init__(message)
+        self.message = message
+        self.position = position
         self.source = source
 
     def __str__(self):
-        place = self.place
-        return f"{self.source}:{place.line}:{place.column}: {self.sentence}"
+        position = self.position
+        return f"{self.source}:{position.line}:{position.column}: {self.message}"
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/expectations.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/expectations.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class MeasureSelector:
     """Which measure, of which class and in which stretch."""
 
     measure: str
@@ -25,7 +25,7 @@
         return " ".join(word for word in words if word)
 
 
-def wanted_of(words, place):
+def parse_selector(words, position):
     """Return the measure that words name.
 
     Raises
@@ -35,14 +35,14 @@
     measure, *rest = words
     if measure not in MEASURES:
         known = ", ".join(MEASURES)
-        raise ScenarioError(f"{measure} is no measure; there are {known}.", place)
+        raise ScenarioError(f"{measure} is no measure; there are {known}.", position)
     importance = next((word for word in rest if word in CLASS_NAMES), None)
     window = next((word for word in rest if word in WINDOWS), "")
     strange = [word for word in rest if word not in (importance, window)]
     if strange:
-        sentence = f"{strange[0]} is neither an importance class nor a stretch."
-        raise ScenarioError(sentence, place)
-    return Wanted(measure, importance, window or MEASURES[measure].window)
+        message = f"{strange[0]} is neither an importance class nor a stretch."
+        raise ScenarioError(message, position)
+    return MeasureSelector(measure, importance, window or MEASURES[measure].window)
 
 
 def check_expectation(scenario, expectation):
@@ -52,13 +52,13 @@
     ------
     ScenarioError
     """
-    wanted = wanted_of(expectation.words, expectation.place)
-    if expectation.of_bound and wanted.measure != "goodput":
-        sentence = "Only goodput has a bound."
-        raise ScenarioError(sentence, expectation.place)
-    if wanted.window != "whole" and scenario.trigger is None:
-        sentence = f"Without a fault there is no stretch {wanted.window}."
-        raise ScenarioError(sentence, expectation.place)
+    selector = parse_selector(expectation.words, expectation.position)
+    if expectation.of_bound and selector.measure != "goodput":
+        message = "Only goodput has a bound."
+        raise ScenarioError(message, expectation.position)
+    if selector.window != "whole" and scenario.trigger is None:
+        message = f"Without a fault there is no stretch {selector.window}."
+        raise ScenarioError(message, expectation.position)
 
 
 @dataclass(slots=True)
@@ -80,27 +80,27 @@
     holds: bool
 
 
-def judge(evidence, expectation):
+def judge(run_data, expectation):
     """Return the verdict on an expectation.
 
     Parameters
     ----------
-    evidence : Evidence
+    run_data : RunData
     expectation : Expectation
     """
-    wanted = wanted_of(expectation.words, expectation.place)
-    measured = measure(evidence, wanted)
+    selector = parse_selector(expectation.words, expectation.position)
+    measured = measure(run_data, selector)
     if expectation.of_bound and measured is not None:
-        bound = evidence.bound(evidence.windows[wanted.window], wanted.importance)
+        bound = run_data.bound(run_data.windows[selector.window], selector.importance)
         measured = measured / bound if bound else None
     compare = COMPARISONS[expectation.comparison]
     holds = measured is not None and compare(measured, expectation.value)
-    return Verdict(expectation.place.line, expectation.text, measured, holds)
+    return Verdict(expectation.position.line, expectation.text, measured, holds)
 
 
-def measure(evidence, wanted):
+def measure(run_data, selector):
     """Return a measure's value; None where there is nothing to measure."""
-    window = evidence.windows.get(wanted.window)
+    window = run_data.windows.get(selector.window)
     if window is None:
         return None
-    return MEASURES[wanted.measure].compute(evidence, wanted.importance, window)
+    return MEASURES[selector.measure].compute(run_data, selector.importance, window)
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/faults.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/faults.py
@@ -31,10 +31,10 @@
 
     async def play_one(self, fault, starts_at):
         """Begin a fault when it is due, and undo it."""
-        await asyncio.sleep(max(0.0, starts_at + fault.at - now()))
+        await asyncio.sleep(max(0.0, starts_at + fault.start_seconds - now()))
         begun = asyncio.create_task(self.switch(fault, True))
-        if fault.seconds is not None:
-            await asyncio.sleep(max(0.0, starts_at + fault.ends - now()))
+        if fault.duration_seconds is not None:
+            await asyncio.sleep(max(0.0, starts_at + fault.end_seconds - now()))
             await begun
             await self.switch(fault, False)
         await begun
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/measures.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/measures.py
@@ -19,7 +19,7 @@
 from papayabay_bench.measures.recovery import time_back
 from papayabay_bench.measures.waste import wasted_share
 from papayabay_bench.measures.windows import Window
-from papayabay_bench.scenarios.bound import possible_rate
+from papayabay_bench.scenarios.bound import achievable_rate
 from papayabay_bench.scenarios.retries import most_retries
 from papayabay_bench.scenarios.samples import inversions
 from papayabay_bench.targets.records import End
@@ -31,12 +31,12 @@
 
 
 @dataclass(slots=True)
-class Evidence:
+class RunData:
     """All that was seen of a run.
 
     Attributes
     ----------
-    pieces : list of Piece
+    segments : list of Segment
         The bound, moment by moment.
     windows : dict of str to Window
         By name; `before`, `overload` and `after` only with a trigger.
@@ -47,7 +47,7 @@
     executions: list
     effects: list
     samples: list
-    pieces: list
+    segments: list
     windows: dict[str, Window]
 
     def of(self, importance, window):
@@ -56,7 +56,7 @@
 
     def bound(self, window, importance=None):
         """Return the requests per second that fit in a window."""
-        return possible_rate(self.pieces, window, importance, self.scenario)
+        return achievable_rate(self.segments, window, importance, self.scenario)
 
 
 def of_class(requests, importance):
@@ -79,48 +79,48 @@
     return found
 
 
-def goodput_rate(evidence, importance, window):
+def goodput_rate(run_data, importance, window):
     """Return the whole requests per second that ended well in a window."""
     if not window.seconds:
         return None
-    return goodput(of_class(evidence.requests, importance), window)
+    return goodput(of_class(run_data.requests, importance), window)
 
 
-def good_share_of(evidence, importance, window):
+def good_share_of(run_data, importance, window):
     """Return the share of the requests due that ended well."""
-    due = evidence.of(importance, window)
+    due = run_data.of(importance, window)
     return good_share(due) if due else None
 
 
-def recovery(evidence, importance, window):
+def recovery(run_data, importance, window):
     """Return the time back to normal goodput."""
-    requests = of_class(evidence.requests, importance)
-    before = evidence.windows["before"]
+    requests = of_class(run_data.requests, importance)
+    before = run_data.windows["before"]
     if not any(request.good for request in due_within(requests, before)):
         return None
-    return time_back(requests, before, evidence.windows["after"])
+    return time_back(requests, before, run_data.windows["after"])
 
 
-def wasted(evidence, importance, window):
+def wasted(run_data, importance, window):
     """Return the share of slot time that bought no good answer."""
-    return wasted_share(evidence.of(importance, window), evidence.executions)
+    return wasted_share(run_data.of(importance, window), run_data.executions)
 
 
-def retries(evidence, importance, window):
+def retries(run_data, importance, window):
     """Return the largest number of the system's retries of one request."""
-    return most_retries(evidence.of(importance, window), evidence.executions)
+    return most_retries(run_data.of(importance, window), run_data.executions)
 
 
-def doubled(evidence, importance, window):
+def doubled(run_data, importance, window):
     """Return the number of effects taken more than once."""
-    return len(doubled_effects(evidence.effects))
+    return len(doubled_effects(run_data.effects))
 
 
-def lost(evidence, importance, window):
+def lost(run_data, importance, window):
     """Return the number of confirmed effects that were never taken."""
-    calls = effect_calls(evidence.scenario)
-    due = evidence.of(importance, window)
-    return len(lost_effects(due, evidence.effects, calls))
+    calls = effect_calls(run_data.scenario)
+    due = run_data.of(importance, window)
+    return len(lost_effects(due, run_data.effects, calls))
 
 
 def effect_calls(scenario):
@@ -133,12 +133,12 @@
     }
 
 
-def denied(evidence, importance, window):
+def denied(run_data, importance, window):
     """Return the number of effects whose caller was told `not-run`."""
-    return len(denied_effects(evidence.of(importance, window), evidence.effects))
+    return len(denied_effects(run_data.of(importance, window), run_data.effects))
 
 
-def refused(evidence, importance, window):
+def refused(run_data, importance, window):
     """Return the number of attempts that were refused within a window.
 
     The answer's moment decides, not the request's: a request that came
@@ -146,44 +146,44 @@
     """
     return sum(
         attempt.outcome == Outcome.REFUSED.value and window.holds(attempt.ended)
-        for request in of_class(evidence.requests, importance)
+        for request in of_class(run_data.requests, importance)
         for attempt in request.attempts
     )
 
 
-def crossed(evidence, importance, window):
+def crossed(run_data, importance, window):
     """Return the number of answers that were another's, or torn."""
-    due = evidence.of(importance, window)
+    due = run_data.of(importance, window)
     at_callers = sum(
         attempt.outcome == Outcome.WRONG.value
         for request in due
         for attempt in request.attempts
     )
     at_targets = sum(
-        execution.end == End.CROSSED.value for execution in evidence.executions
+        execution.end == End.CROSSED.value for execution in run_data.executions
     )
     return at_callers + at_targets
 
 
-def unsent(evidence, importance, window):
+def unsent(run_data, importance, window):
     """Return the number of requests that the load tool could not send."""
     return sum(
         request.outcome == Outcome.UNSENT.value
-        for request in evidence.of(importance, window)
+        for request in run_data.of(importance, window)
     )
 
 
-def late(evidence, importance, window):
+def late(run_data, importance, window):
     """Return the 99th percentile of the load tool's own lateness."""
-    due = evidence.of(importance, window)
+    due = run_data.of(importance, window)
     return percentile([request.lateness_ms for request in due], 99)
 
 
 def latency(percent):
     """Return the measure of a percentile of good requests' latency."""
 
-    def compute(evidence, importance, window):
-        due = evidence.of(importance, window)
+    def compute(run_data, importance, window):
+        due = run_data.of(importance, window)
         return percentile([one.latency_ms for one in due if one.good], percent)
 
     return compute
@@ -210,7 +210,7 @@
     "recovery": Measure(recovery, "after"),
     "wasted": Measure(wasted, "overload"),
     "inversions": Measure(
-        lambda evidence, importance, window: inversions(evidence.samples, window),
+        lambda run_data, importance, window: inversions(run_data.samples, window),
         "overload",
     ),
     "retries": Measure(retries),
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/model.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/model.py
@@ -1,18 +1,24 @@
-"""A scenario as data: what the parser makes and the runner plays."""
+"""Data classes of a parsed scenario."""
 
 from dataclasses import dataclass, field
 
-from papayabay_bench.scenarios.errors import Place
+from papayabay_bench.scenarios.errors import Position
 
 
 @dataclass(slots=True)
 class Step:
-    """A call that another call makes: `retries` are the target's own."""
+    """An outgoing call of a call.
+
+    Attributes
+    ----------
+    retries : int
+        Retries that the calling target itself makes.
+    """
 
     service: str
     call: str
     retries: int
-    place: Place
+    position: Position
 
     @property
     def name(self):
@@ -26,18 +32,28 @@
 
     Attributes
     ----------
+    importance : str
+        "critical", "normal" or "sheddable".
     once : str
-        "claim", "token" or "either" for a call that must take effect at
-        most once, with this kind of key; empty for an idempotent one.
+        "claim", "token" or "either": kind of idempotency key of a call that
+        must run at most once. Empty for an idempotent call.
+    effect : bool
+        Whether the call performs a recorded effect.
     work_ms : float
-        Mean of the slot time of its own work.
+        Mean slot time of the call's own work.
+    distribution, sigma : str, float
+        Distribution of the slot time, and its shape if it is lognormal.
+    credits : int or None
+        Retry budget of a request.
+    together : bool
+        Whether the outgoing calls in `steps` run in parallel.
     """
 
     name: str
     method: str
     path: str
     importance: str
-    place: Place
+    position: Position
     once: str = ""
     effect: bool = False
     work_ms: float = 10.0
@@ -51,16 +67,32 @@
 
     @property
     def prefix(self):
-        """The path up to its first placeholder."""
+        """The path up to its first placeholder or wildcard."""
         return self.path.partition("{")[0].removesuffix("*")
 
 
 @dataclass(slots=True)
 class Service:
-    """One service; `settings` are (group, key, value) of its policy."""
+    """One service and its targets.
+
+    Attributes
+    ----------
+    slots, connections : int
+        Of each upstream: calls it works on and accepts at the same time.
+    announced_slots : int or None
+        Number of slots that targets announce in place of the true one.
+    holds_slot : bool
+        Whether a call holds its slot while its outgoing calls run.
+    cold_start_ms, cold_factor : int, float
+        How long a target is slow after its start, and the initial factor.
+    credits : int or None
+        Retry budget of a request.
+    settings : list of (str, str, object)
+        Group, key and value of other settings of the service's policy.
+    """
 
     name: str
-    place: Place
+    position: Position
     upstreams: int = 2
     slots: int = 10
     connections: int = 150
@@ -76,12 +108,18 @@
 
 @dataclass(slots=True)
 class Share:
-    """A share of a load's requests that go to one call."""
+    """The share of a load's requests that are sent to one call.
+
+    Attributes
+    ----------
+    percent : float
+        A fraction from 0 to 1.
+    """
 
     percent: float
     service: str
     call: str
-    place: Place
+    position: Position
 
     @property
     def name(self):
@@ -90,22 +128,43 @@
 
 
 @dataclass(slots=True)
-class Stretch:
-    """Seconds of a load whose rate goes from `begins` to `ends`."""
+class LoadPhase:
+    """A part of a load whose rate is constant or changes linearly.
 
-    begins: float
-    ends: float
+    Attributes
+    ----------
+    start_rate, end_rate : float
+        Requests per second.
+    seconds : float
+    """
+
+    start_rate: float
+    end_rate: float
     seconds: float
 
 
 @dataclass(slots=True)
 class Load:
-    """One population of clients."""
+    """The requests of one population of clients.
+
+    Attributes
+    ----------
+    wait_ms : int
+        Time-out of an attempt.
+    retries : int
+        Maximum number of retries of a request.
+    pause_ms : int
+        Pause before a retry.
+    honours_retry_after : bool
+        Whether retries wait for the time that a refusal's answer gives.
+    paced : bool
+        Whether requests are evenly spaced, in place of a Poisson process.
+    """
 
     name: str
-    place: Place
+    position: Position
     mix: list[Share] = field(default_factory=list)
-    stretches: list[Stretch] = field(default_factory=list)
+    phases: list[LoadPhase] = field(default_factory=list)
     wait_ms: int = 1_000
     retries: int = 0
     pause_ms: int = 0
@@ -114,41 +173,46 @@
 
     @property
     def seconds(self):
-        """Length of the load."""
-        return sum(stretch.seconds for stretch in self.stretches)
+        """Duration of the load."""
+        return sum(phase.seconds for phase in self.phases)
 
 
 @dataclass(slots=True)
 class Fault:
-    """Something that goes wrong at a time, and for how long.
+    """A fault that is injected while the load runs.
 
     Attributes
     ----------
     kind : str
-        Name of the action in the grammar.
+        Name of the action's rule in the grammar.
     subject : str
-        What it happens to: a service, target, daemon, domain or load.
+        Service, target, daemon, domain or load that it affects.
     value : float or str
-        Factor, load, threshold, milliseconds, share, or what is killed.
-    at, seconds : float
-        Seconds; `seconds` is None for a fault that is not undone.
+        Depends on the kind: a factor, load, threshold, time in milliseconds
+        or share, or whether a target or a daemon is affected.
+    start_seconds : float
+        Time from the start of the load.
+    duration_seconds : float or None
+        None for a fault that is not ended.
     """
 
     kind: str
     subject: str
     value: object
-    at: float
-    seconds: float | None
-    place: Place
+    start_seconds: float
+    duration_seconds: float | None
+    position: Position
 
     @property
-    def ends(self):
-        """When it is undone; its begin if never."""
-        return self.at + (self.seconds or 0.0)
-
-    def holds(self, moment):
-        """Return whether it is in force at a moment of the load."""
-        return self.at <= moment and (self.seconds is None or moment < self.ends)
+    def end_seconds(self):
+        """Time of its end; time of its start if it is not ended."""
+        return self.start_seconds + (self.duration_seconds or 0.0)
+
+    def is_active(self, time):
+        """Return whether it is active at a time from the load's start."""
+        return self.start_seconds <= time and (
+            self.duration_seconds is None or time < self.end_seconds
+        )
 
 
 @dataclass(slots=True)
@@ -158,9 +222,13 @@
     Attributes
     ----------
     words : tuple of str
-        The measure as written.
+        Words that name the measure, its class and its window.
+    comparison : str
+        One of ">=", "<=" and "=".
     value : float
-        Shares as fractions, times in seconds.
+        Shares are fractions, times are in seconds.
+    of_bound : bool
+        Whether the value is a share of the computed bound.
     text : str
         The line as written.
     """
@@ -170,12 +238,26 @@
     value: float
     of_bound: bool
     text: str
-    place: Place
+    position: Position
 
 
 @dataclass(slots=True)
 class Scenario:
-    """A whole scenario."""
+    """A scenario file.
+
+    Attributes
+    ----------
+    source : str
+        Name of the file.
+    domains : int
+        Number of failure domains.
+    entries : int
+        Number of daemons without a target.
+    decisions : dict of str to object
+        Overrides of the policy's decisions.
+    overload : (float, float) or None
+        Time from the load's start that counts as overload, if it is given.
+    """
 
     source: str = ""
     name: str = ""
@@ -191,19 +273,23 @@
 
     @property
     def seconds(self):
-        """Length of the longest load."""
+        """Duration of the longest load."""
         return max((load.seconds for load in self.loads.values()), default=0.0)
 
     @property
     def trigger(self):
-        """Begin and end of the overload's trigger; None without faults."""
+        """Start and end of the overload in seconds; None without faults.
+
+        If the scenario doesn't give them, the time from the start of the
+        first fault to the end of the last one.
+        """
         if self.overload or not self.faults:
             return self.overload
         return (
-            min(fault.at for fault in self.faults),
-            max(fault.ends for fault in self.faults),
+            min(fault.start_seconds for fault in self.faults),
+            max(fault.end_seconds for fault in self.faults),
         )
 
     def call(self, step):
-        """Return the call that a step or a share names."""
+        """Return the call that a step or a share refers to."""
         return self.services[step.service].calls[step.call]
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/parser.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/parser.py
@@ -7,7 +7,7 @@
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedToken
 
 from papayabay_bench.scenarios.check import check_scenario
-from papayabay_bench.scenarios.errors import Place, ScenarioError
+from papayabay_bench.scenarios.errors import Position, ScenarioError
 from papayabay_bench.scenarios.reader import Reader
 
 MOST_EXPECTED = 6
@@ -36,7 +36,9 @@
     try:
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise ScenarioError(f"It can't be read: {error}.", Place(1, 1), path) from None
+        raise ScenarioError(
+            f"It can't be read: {error}.", Position(1, 1), path
+        ) from None
     return parse_scenario(text, str(path))
 
 
@@ -76,15 +78,15 @@
 
 def unexpected(found, expected, line, column):
     """Return the error of a word that can't stand where it does."""
-    sentence = f"{found!s} can't stand here; {expectation(expected)}."
-    return ScenarioError(sentence, Place(line, column))
+    message = f"{found!s} can't stand here; {expectation(expected)}."
+    return ScenarioError(message, Position(line, column))
 
 
 def at_end(text, expected):
     """Return the error of a text that ends too early."""
     lines = text.splitlines() or [""]
-    place = Place(len(lines), len(lines[-1]) + 1)
-    return ScenarioError(f"The file ends too early; {expectation(expected)}.", place)
+    position = Position(len(lines), len(lines[-1]) + 1)
+    return ScenarioError(f"The file ends too early; {expectation(expected)}.", position)
 
 
 def expectation(terminals):
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/plans.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/plans.py
@@ -124,7 +124,7 @@
         load.name: LoadSpec(
             entries=entries,
             calls=[call_mix(scenario, share) for share in load.mix],
-            phases=phases(scenario, load),
+            phases=load_phases(scenario, load),
             patience=Patience(
                 attempt_timeout_ms=load.wait_ms,
                 retries=load.retries,
@@ -159,38 +159,40 @@
     return "minted" if call.once == "token" else "own"
 
 
-def phases(scenario, load):
+def load_phases(scenario, load):
     """Return a load's rates over time, surges taken in."""
     surges = [
         fault
         for fault in scenario.faults
         if fault.kind == "surge" and fault.subject in ("", load.name)
     ]
-    marks = [mark for surge in surges for mark in (surge.at, surge.ends)]
+    marks = [
+        mark for surge in surges for mark in (surge.start_seconds, surge.end_seconds)
+    ]
     found, begins = [], 0.0
-    for stretch in load.stretches:
-        for since, until in pairwise(cuts(stretch, begins, marks)):
+    for phase in load.phases:
+        for since, until in pairwise(cuts(phase, begins, marks)):
             middle = (since + until) / 2
-            rate = rate_at(stretch, middle - begins)
+            rate = rate_at(phase, middle - begins)
             for surge in surges:
-                rate *= surge.value if surge.holds(middle) else 1.0
+                rate *= surge.value if surge.is_active(middle) else 1.0
             found.append(Phase(seconds=until - since, rate=rate))
-        begins += stretch.seconds
+        begins += phase.seconds
     return found
 
 
-def rate_at(stretch, passed):
+def rate_at(phase, passed):
     """Return the rate of a stretch when some of its seconds are past."""
-    grown = (stretch.ends - stretch.begins) * passed / stretch.seconds
-    return stretch.begins + grown
+    grown = (phase.end_rate - phase.start_rate) * passed / phase.seconds
+    return phase.start_rate + grown
 
 
-def cuts(stretch, begins, marks):
+def cuts(phase, begins, marks):
     """Return where a stretch's rate changes: steps of ramps, and marks."""
-    ends = begins + stretch.seconds
+    ends = begins + phase.seconds
     steps = 1
-    if stretch.begins != stretch.ends:
-        steps = max(1, round(stretch.seconds / RAMP_STEP))
+    if phase.start_rate != phase.end_rate:
+        steps = max(1, round(phase.seconds / RAMP_STEP))
     within = {mark for mark in marks if begins < mark < ends}
-    regular = {begins + stretch.seconds * step / steps for step in range(steps)}
+    regular = {begins + phase.seconds * step / steps for step in range(steps)}
     return sorted(within | regular | {ends})
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/reader.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/reader.py
@@ -2,23 +2,23 @@
 
 from lark import Transformer, v_args
 
-from papayabay_bench.scenarios.errors import Place, ScenarioError
+from papayabay_bench.scenarios.errors import Position, ScenarioError
 from papayabay_bench.scenarios.model import (
     Call,
     Expectation,
     Fault,
     Load,
+    LoadPhase,
     Scenario,
     Service,
     Share,
     Step,
-    Stretch,
 )
 
 
-def place_of(token):
+def position_of(token):
     """Return where a token, or the node's first token, stands."""
-    return Place(token.line, token.column)
+    return Position(token.line, token.column)
 
 
 @v_args(inline=True)
@@ -125,9 +125,9 @@
         """Take a fault."""
         at, seconds, action = node.children
         subject, value = FAULTS[action.data](*action.children)
-        place = Place(node.meta.line, node.meta.column)
+        position = Position(node.meta.line, node.meta.column)
         kind = str(action.data)
-        fault = Fault(kind, str(subject), value, at, seconds, place)
+        fault = Fault(kind, str(subject), value, at, seconds, position)
         self.scenario.faults.append(fault)
 
     def read_expect(self, node):
@@ -143,7 +143,7 @@
             value=value,
             of_bound=of_bound is not None,
             text=self.lines[line - 1].partition("#")[0].strip(),
-            place=Place(line, node.meta.column),
+            position=Position(line, node.meta.column),
         )
         self.scenario.expectations.append(expectation)
 
@@ -151,14 +151,14 @@
 def refuse_twice(known, name, what):
     """Raise if a name was given before."""
     if name in known:
-        raise ScenarioError(f"There are two {what}s named {name}.", place_of(name))
+        raise ScenarioError(f"There are two {what}s named {name}.", position_of(name))
 
 
 def read_block(node, make, setters, known):
     """Add the named thing of a block, with what its lines say of it."""
     name, *lines = node.children
     refuse_twice(known, name, str(node.data))
-    thing = make(str(name), place_of(name))
+    thing = make(str(name), position_of(name))
     for line in lines:
         setters[line.data](thing, *line.children)
     known[thing.name] = thing
@@ -173,7 +173,7 @@
 def add_call(service, name, method, path, importance, *parts):
     """Take a call of a service."""
     refuse_twice(service.calls, name, "call")
-    call = Call(str(name), str(method), str(path), str(importance), place_of(name))
+    call = Call(str(name), str(method), str(path), str(importance), position_of(name))
     for part in parts:
         CALL_PARTS[part.data](call, *part.children)
     service.calls[call.name] = call
@@ -200,13 +200,13 @@
     """Return one call that a call makes."""
     service, call = callname.children
     number = retries.children[0] if retries else 0
-    return Step(str(service), str(call), number, place_of(service))
+    return Step(str(service), str(call), number, position_of(service))
 
 
 def read_share(percent, callname):
     """Return one share of a mix."""
     service, call = callname.children
-    return Share(percent, str(service), str(call), place_of(service))
+    return Share(percent, str(service), str(call), position_of(service))
 
 
 def set_retry(load, number, pause):
@@ -252,11 +252,11 @@
     "mix": lambda load, *shares: load.mix.extend(
         read_share(*share.children) for share in shares
     ),
-    "steady": lambda load, rate, seconds: load.stretches.append(
-        Stretch(rate, rate, seconds)
+    "steady": lambda load, rate, seconds: load.phases.append(
+        LoadPhase(rate, rate, seconds)
     ),
-    "ramp": lambda load, begins, ends, seconds: load.stretches.append(
-        Stretch(begins, ends, seconds)
+    "ramp": lambda load, begins, ends, seconds: load.phases.append(
+        LoadPhase(begins, ends, seconds)
     ),
     "wait": setter("wait_ms", milliseconds),
     "retry": set_retry,
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/result.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/result.py
@@ -79,18 +79,18 @@
     return RunResult(verdicts=verdicts, **values)
 
 
-def series_of(evidence):
+def series_of(run_data):
     """Return a run's points over time."""
-    begins = evidence.windows["whole"].begins
+    begins = run_data.windows["whole"].begins
     return {
-        "offered": per_class(evidence.requests, begins, "due"),
+        "offered": per_class(run_data.requests, begins, "due"),
         "goodput": per_class(
-            [request for request in evidence.requests if request.good], begins, "ended"
+            [request for request in run_data.requests if request.good], begins, "ended"
         ),
-        "refused": refusals(evidence.requests, begins),
-        "queue_ms": by_service(evidence.samples, begins, "queue_ms"),
-        "in_flight": by_service(evidence.samples, begins, "in_flight"),
-        "queued": by_service(evidence.samples, begins, "queued"),
+        "refused": refusals(run_data.requests, begins),
+        "queue_ms": by_service(run_data.samples, begins, "queue_ms"),
+        "in_flight": by_service(run_data.samples, begins, "in_flight"),
+        "queued": by_service(run_data.samples, begins, "queued"),
     }
 
 
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/runner.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/runner.py
@@ -7,10 +7,10 @@
 
 from papayabay_bench.fleet import Fleet
 from papayabay_bench.load.runner import processes_for, run_load
-from papayabay_bench.scenarios.bound import explain, pieces
-from papayabay_bench.scenarios.expectations import Wanted, judge, measure
+from papayabay_bench.scenarios.bound import explain, segments
+from papayabay_bench.scenarios.expectations import MeasureSelector, judge, measure
 from papayabay_bench.scenarios.faults import FaultPlayer
-from papayabay_bench.scenarios.measures import Evidence, windows_of
+from papayabay_bench.scenarios.measures import RunData, windows_of
 from papayabay_bench.scenarios.plans import fleet_plan, load_specs, policy_document
 from papayabay_bench.scenarios.result import RunResult, series_of
 from papayabay_bench.scenarios.samples import Sampler, admission_counts
@@ -24,25 +24,25 @@
 offers less than the scenario says; `late` shows it."""
 
 STANDARD = (
-    Wanted("goodput", None, "before"),
-    Wanted("goodput", None, "overload"),
-    Wanted("goodput", None, "after"),
-    Wanted("good", "critical", "overload"),
-    Wanted("good", "normal", "overload"),
-    Wanted("good", "sheddable", "overload"),
-    Wanted("recovery", None, "after"),
-    Wanted("wasted", None, "overload"),
-    Wanted("inversions", None, "overload"),
-    Wanted("retries", None, "whole"),
-    Wanted("refused", None, "before"),
-    Wanted("doubled", None, "whole"),
-    Wanted("lost", None, "whole"),
-    Wanted("denied", None, "whole"),
-    Wanted("crossed", None, "whole"),
-    Wanted("p50", "critical", "overload"),
-    Wanted("p99", None, "before"),
-    Wanted("late", None, "whole"),
-    Wanted("unsent", None, "whole"),
+    MeasureSelector("goodput", None, "before"),
+    MeasureSelector("goodput", None, "overload"),
+    MeasureSelector("goodput", None, "after"),
+    MeasureSelector("good", "critical", "overload"),
+    MeasureSelector("good", "normal", "overload"),
+    MeasureSelector("good", "sheddable", "overload"),
+    MeasureSelector("recovery", None, "after"),
+    MeasureSelector("wasted", None, "overload"),
+    MeasureSelector("inversions", None, "overload"),
+    MeasureSelector("retries", None, "whole"),
+    MeasureSelector("refused", None, "before"),
+    MeasureSelector("doubled", None, "whole"),
+    MeasureSelector("lost", None, "whole"),
+    MeasureSelector("denied", None, "whole"),
+    MeasureSelector("crossed", None, "whole"),
+    MeasureSelector("p50", "critical", "overload"),
+    MeasureSelector("p99", None, "before"),
+    MeasureSelector("late", None, "whole"),
+    MeasureSelector("unsent", None, "whole"),
 )
 """Measures of every run, whatever it expects."""
 
@@ -80,8 +80,8 @@
         version = await fleet.apply(policy_document(scenario, policy))
         await fleet.wait_members(MEMBERS_TIMEOUT)
         await fleet.wait_version(version)
-        evidence = await collect(scenario, fleet, seed, directory)
-    return summary(scenario, policy, seed, evidence)
+        run_data = await collect(scenario, fleet, seed, directory)
+    return summary(scenario, policy, seed, run_data)
 
 
 async def collect(scenario, fleet, seed, directory):
@@ -98,13 +98,13 @@
     await asyncio.sleep(SETTLE_SECONDS)
     records = read_records(fleet.record_paths())
     windows = windows_of(scenario, started.result())
-    return Evidence(
+    return RunData(
         scenario=scenario,
         requests=requests,
         executions=records.executions,
         effects=records.effects,
         samples=sampler.samples,
-        pieces=pieces(scenario, requests, windows["whole"]),
+        segments=segments(scenario, requests, windows["whole"]),
         windows=windows,
     )
 
@@ -134,21 +134,21 @@
     async with asyncio.TaskGroup() as group:
         runs = []
         for name, spec in specs.items():
-            place = directory / f"load-{name}"
-            place.mkdir(parents=True, exist_ok=True)
+            position = directory / f"load-{name}"
+            position.mkdir(parents=True, exist_ok=True)
             processes = processes_for(spec) + SPARE_GENERATORS
-            run = run_load(spec, place, processes, keep_start)
+            run = run_load(spec, position, processes, keep_start)
             runs.append(group.create_task(run))
     return [request for run in runs for request in run.result()]
 
 
-def summary(scenario, policy, seed, evidence):
+def summary(scenario, policy, seed, run_data):
     """Return what a run found."""
-    begins = evidence.windows["whole"].begins
-    measures = {wanted.text: measure(evidence, wanted) for wanted in STANDARD}
-    window = evidence.windows.get("overload")
+    begins = run_data.windows["whole"].begins
+    measures = {selector.text: measure(run_data, selector) for selector in STANDARD}
+    window = run_data.windows.get("overload")
     if window and window.seconds:
-        bound = evidence.bound(window)
+        bound = run_data.bound(window)
         got = measures["goodput overload"]
         measures["bound overload"] = bound
         measures["goodput of bound"] = got / bound if bound else None
@@ -160,13 +160,13 @@
         seed=seed,
         windows={
             name: (one.begins - begins, one.ends - begins)
-            for name, one in evidence.windows.items()
+            for name, one in run_data.windows.items()
         },
-        bound_lines=explain(evidence.pieces, begins),
+        bound_lines=explain(run_data.segments, begins),
         measures=measures,
-        verdicts=[judge(evidence, one) for one in scenario.expectations],
+        verdicts=[judge(run_data, one) for one in scenario.expectations],
         admission=admission_counts(
-            evidence.samples, window or evidence.windows["whole"]
+            run_data.samples, window or run_data.windows["whole"]
         ),
-        series=series_of(evidence),
+        series=series_of(run_data),
     )
--- a/tests/unit/bench/test_scenario_bound.py
+++ b/tests/unit/bench/test_scenario_bound.py
@@ -4,9 +4,9 @@
 
 from papayabay_bench.load.results import Attempt, Request
 from papayabay_bench.measures.windows import Window
-from papayabay_bench.scenarios.bound import pieces, possible_rate
+from papayabay_bench.scenarios.bound import achievable_rate, segments
 from papayabay_bench.scenarios.expectations import judge
-from papayabay_bench.scenarios.measures import Evidence, windows_of
+from papayabay_bench.scenarios.measures import RunData, windows_of
 from papayabay_bench.scenarios.parser import parse_scenario
 from papayabay_bench.scenarios.samples import Sample, admission_counts, inversions
 
@@ -61,22 +61,22 @@
     ]
 
 
-def evidence_of(scenario, made):
+def run_data_of(scenario, made):
     """Return evidence of requests alone."""
     windows = windows_of(scenario, 0.0)
-    found = pieces(scenario, made, windows["whole"])
-    return Evidence(scenario, made, [], [], [], found, windows)
+    found = segments(scenario, made, windows["whole"])
+    return RunData(scenario, made, [], [], [], found, windows)
 
 
 class BoundTest(unittest.TestCase):
     def setUp(self):
         self.scenario = parse_scenario(TEXT)
-        self.pieces = pieces(self.scenario, requests(), Window(0.0, 30.0))
+        self.segments = segments(self.scenario, requests(), Window(0.0, 30.0))
 
     def rate(self, importance, begins, ends):
         """Return what fits of a class."""
         window = Window(begins, ends)
-        return possible_rate(self.pieces, window, importance, self.scenario)
+        return achievable_rate(self.segments, window, importance, self.scenario)
 
     def test_healthy_fleet_is_bound_by_the_deep_service(self):
         """2 slots ÷ 40 ms fit 50/s: 20 critical ones, and 30 of 60 looks."""
@@ -98,8 +98,8 @@
 
     def verdicts(self, good):
         """Return which expectations hold."""
-        evidence = evidence_of(self.scenario, requests(good))
-        return [judge(evidence, one) for one in self.scenario.expectations]
+        run_data = run_data_of(self.scenario, requests(good))
+        return [judge(run_data, one) for one in self.scenario.expectations]
 
     def test_all_hold(self):
         self.assertTrue(all(one.holds for one in self.verdicts(lambda *_: True)))
@@ -126,7 +126,7 @@
         made = requests()
         made[0].attempts[0].outcome = "refused"
         made[0].attempts[0].ended = 11.0
-        verdict = judge(evidence_of(self.scenario, made), self.scenario.expectations[2])
+        verdict = judge(run_data_of(self.scenario, made), self.scenario.expectations[2])
         self.assertTrue(verdict.holds)
 
 
