--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/__init__.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios: a small language, its runner and its measures."""
+"""The scenario language, its parser, its runner and its measures."""
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/check.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/check.py
@@ -1,29 +1,30 @@
-"""Checks what the grammar can't: names, sums and impossible numbers."""
+"""Validates what the grammar can't check: names, sums and ranges."""
 
 from itertools import chain, combinations
 
 from papayabay_bench.scenarios.errors import Position, ScenarioError
 from papayabay_bench.scenarios.expectations import check_expectation
 
-FIRST = Position(1, 1)
+FILE_START = Position(1, 1)
 SHARE_TOLERANCE = 0.001
 
 
 def check_scenario(scenario):
-    """Raise the first fault of a scenario.
+    """Validate a scenario.
 
     Raises
     ------
     ScenarioError
+        For the first error found.
     """
-    require(scenario.name, 'A scenario needs a name: scenario "…".', FIRST)
-    require(scenario.scale, 'A scenario names its scale: scale "…".', FIRST)
-    require(scenario.services, "A scenario needs a service.", FIRST)
-    require(scenario.loads, "A scenario needs a load.", FIRST)
-    require(scenario.domains >= 1, "There is at least one domain.", FIRST)
+    require(scenario.name, 'Missing scenario name: scenario "…".', FILE_START)
+    require(scenario.scale, 'Missing scale: scale "…".', FILE_START)
+    require(scenario.services, "A scenario needs at least one service.", FILE_START)
+    require(scenario.loads, "A scenario needs at least one load.", FILE_START)
+    require(scenario.domains >= 1, "domains must be at least 1.", FILE_START)
     for service in scenario.services.values():
         check_service(scenario, service)
-    check_endless(scenario)
+    check_acyclic(scenario)
     for load in scenario.loads.values():
         check_load(scenario, load)
     for fault in scenario.faults:
@@ -33,72 +34,75 @@
         check_expectation(scenario, expectation)
 
 
-def require(holds, message, position):
-    """Raise unless something holds."""
-    if not holds:
+def require(condition, message, position):
+    """Raise `ScenarioError` unless a condition is true."""
+    if not condition:
         raise ScenarioError(message, position)
 
 
 def check_service(scenario, service):
-    """Check a service and its calls."""
+    """Validate a service and its calls."""
     require(service.calls, f"Service {service.name} has no call.", service.position)
-    require(service.upstreams >= 1, "A service needs an upstream.", service.position)
-    require(service.slots >= 1, "An upstream needs a slot.", service.position)
+    require(service.upstreams >= 1, "upstreams must be at least 1.", service.position)
+    require(service.slots >= 1, "slots must be at least 1.", service.position)
     for call in service.calls.values():
         for step in call.steps:
-            check_callname(scenario, step)
+            check_call_reference(scenario, step)
     for one, other in combinations(service.calls.values(), 2):
-        message = f"{one.name} and {other.name} begin with the same path."
+        message = f"Calls {one.name} and {other.name} have the same path prefix."
         require(one.prefix != other.prefix, message, other.position)
 
 
-def check_callname(scenario, named):
-    """Check that a call that is named exists."""
-    service = scenario.services.get(named.service)
-    require(service, f"There is no service {named.service}.", named.position)
-    message = f"Service {named.service} has no call {named.call}."
-    require(named.call in service.calls, message, named.position)
+def check_call_reference(scenario, reference):
+    """Check that the call that a step or a share refers to is defined."""
+    service = scenario.services.get(reference.service)
+    require(service, f"There is no service {reference.service}.", reference.position)
+    message = f"Service {reference.service} has no call {reference.call}."
+    require(reference.call in service.calls, message, reference.position)
 
 
-def check_endless(scenario):
-    """Check that no call reaches itself again."""
+def check_acyclic(scenario):
+    """Check that the call graph has no cycle."""
     for service in scenario.services.values():
         for call in service.calls.values():
-            follow(scenario, call, ())
+            check_path(scenario, call, ())
 
 
-def follow(scenario, call, above):
-    """Walk down from a call."""
-    message = f"Call {call.name} reaches itself again."
-    require(all(call is not one for one in above), message, call.position)
+def check_path(scenario, call, ancestors):
+    """Check that a call and the calls below it aren't among its ancestors."""
+    message = f"Call {call.name} calls itself, directly or through other calls."
+    require(all(call is not one for one in ancestors), message, call.position)
     for step in call.steps:
-        follow(scenario, scenario.call(step), (*above, call))
+        check_path(scenario, scenario.call(step), (*ancestors, call))
 
 
 def check_load(scenario, load):
-    """Check a load's mix and length."""
+    """Validate the mix and the rates of a load."""
     require(load.mix, f"Load {load.name} has no mix.", load.position)
     require(load.phases, f"Load {load.name} has no rate.", load.position)
     for share in load.mix:
-        check_callname(scenario, share)
+        check_call_reference(scenario, share)
     total = sum(share.percent for share in load.mix)
     message = f"The shares of load {load.name} sum to {total:.1%}, not 100 %."
     require(abs(total - 1.0) < SHARE_TOLERANCE, message, load.position)
 
 
 def check_fault(scenario, fault):
-    """Check that a fault happens to something that exists, in time."""
+    """Validate the subject, the start and the factor of a fault."""
     known = subjects(scenario, fault)
-    message = f"There is no {fault.subject}; there is {', '.join(sorted(known))}."
+    message = f"There is no {fault.subject}; allowed are {', '.join(sorted(known))}."
     require(fault.subject in known, message, fault.position)
-    message = "The fault begins after the load has ended."
+    message = "The fault starts after the end of the load."
     require(fault.start_seconds < scenario.seconds, message, fault.position)
     if fault.kind in ("slow", "surge"):
-        require(fault.value > 0, "A factor is more than 0.", fault.position)
+        require(fault.value > 0, "The factor must be more than 0.", fault.position)
 
 
 def subjects(scenario, fault):
-    """Return the names of what a kind of fault can happen to."""
+    """Return the names of everything that a kind of fault can affect.
+
+    For a `surge`, an empty name means all loads.
+    """
     if fault.kind in ("slow", "lie", "shed"):
         return set(scenario.services)
     if fault.kind == "surge":
@@ -113,25 +117,31 @@
 
 
 def target_names(scenario):
-    """Yield the names of all targets."""
+    """Yield the names of all targets of a scenario."""
     for service in scenario.services.values():
         for number in range(service.upstreams):
             yield f"{service.name}-{number}"
 
 
 def check_overlaps(faults):
-    """Check that no switch is thrown twice at a time."""
+    """Check that faults that would replace each other don't overlap.
+
+    Surges may overlap, since their factors are multiplied.
+    """
     for one, other in combinations(faults, 2):
-        apart = (
+        disjoint = (
             one.end_seconds <= other.start_seconds
             or other.end_seconds <= one.start_seconds
         )
-        same = switch_of(one) == switch_of(other)
-        message = f"The fault of line {one.position.line} is still in force."
-        require(apart or not same or one.kind == "surge", message, other.position)
+        same = controlled_state(one) == controlled_state(other)
+        message = f"The fault of line {one.position.line} is still active then."
+        require(disjoint or not same or one.kind == "surge", message, other.position)
+
 
+def controlled_state(fault):
+    """Return a key for the state that a fault sets and resets.
 
-def switch_of(fault):
-    """Return what a fault switches; the store has one switch for all."""
+    All faults of the store share one state.
+    """
     kind = "store" if fault.kind.startswith("store") else fault.kind
     return kind, fault.subject, fault.value if kind in ("kill", "drain") else None
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/expectations.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/expectations.py
@@ -1,4 +1,4 @@
-"""The `expect` lines: which measures there are, and whether one holds."""
+"""Validates and evaluates the `expect` lines of a scenario."""
 
 import operator
 from dataclasses import dataclass
@@ -12,7 +12,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasureSelector:
-    """Which measure, of which class and in which stretch."""
+    """Name of a measure, with the class and the window to compute it for.
+
+    Attributes
+    ----------
+    importance : str or None
+        None for all classes.
+    window : str
+        One of `WINDOWS`.
+    """
 
     measure: str
     importance: str | None
@@ -20,33 +28,36 @@
 
     @property
     def text(self):
-        """The measure as a scenario writes it."""
+        """The selector as it is written in a scenario."""
         words = (self.measure, self.importance or "", self.window)
         return " ".join(word for word in words if word)
 
 
 def parse_selector(words, position):
-    """Return the measure that words name.
+    """Return the selector that the words of an `expect` line name.
 
     Raises
     ------
     ScenarioError
+        When a word is unknown.
     """
     measure, *rest = words
     if measure not in MEASURES:
         known = ", ".join(MEASURES)
-        raise ScenarioError(f"{measure} is no measure; there are {known}.", position)
+        raise ScenarioError(
+            f"Unknown measure {measure}; known measures: {known}.", position
+        )
     importance = next((word for word in rest if word in CLASS_NAMES), None)
     window = next((word for word in rest if word in WINDOWS), "")
-    strange = [word for word in rest if word not in (importance, window)]
-    if strange:
-        message = f"{strange[0]} is neither an importance class nor a stretch."
+    unknown = [word for word in rest if word not in (importance, window)]
+    if unknown:
+        message = f"{unknown[0]} is neither an importance class nor a window."
         raise ScenarioError(message, position)
     return MeasureSelector(measure, importance, window or MEASURES[measure].window)
 
 
 def check_expectation(scenario, expectation):
-    """Raise unless an expectation can be judged.
+    """Check that an expectation can be evaluated for a scenario.
 
     Raises
     ------
@@ -54,24 +65,27 @@
     """
     selector = parse_selector(expectation.words, expectation.position)
     if expectation.of_bound and selector.measure != "goodput":
-        message = "Only goodput has a bound."
+        message = "Only goodput can be compared with the bound."
         raise ScenarioError(message, expectation.position)
     if selector.window != "whole" and scenario.trigger is None:
-        message = f"Without a fault there is no stretch {selector.window}."
+        message = f"Without a fault there is no window {selector.window}."
         raise ScenarioError(message, expectation.position)
 
 
 @dataclass(slots=True)
 class Verdict:
-    """Whether an expectation held.
+    """The result of an expectation.
 
     Attributes
     ----------
     line : int
+        Line number of the expectation.
     text : str
         The line as written.
     measured : float or None
-        None where nothing could be measured; that never holds.
+        None when there is nothing to measure.
+    holds : bool
+        Whether the measured value met the expectation; False without one.
     """
 
     line: int
@@ -80,7 +94,7 @@
     holds: bool
 
 
-def judge(run_data, expectation):
+def evaluate(run_data, expectation):
     """Return the verdict on an expectation.
 
     Parameters
@@ -89,7 +103,7 @@
     expectation : Expectation
     """
     selector = parse_selector(expectation.words, expectation.position)
-    measured = measure(run_data, selector)
+    measured = compute_measure(run_data, selector)
     if expectation.of_bound and measured is not None:
         bound = run_data.bound(run_data.windows[selector.window], selector.importance)
         measured = measured / bound if bound else None
@@ -98,8 +112,8 @@
     return Verdict(expectation.position.line, expectation.text, measured, holds)
 
 
-def measure(run_data, selector):
-    """Return a measure's value; None where there is nothing to measure."""
+def compute_measure(run_data, selector):
+    """Return the value of a measure, or None if nothing can be measured."""
     window = run_data.windows.get(selector.window)
     if window is None:
         return None
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/faults.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/faults.py
@@ -1,16 +1,16 @@
-"""Plays the faults of a scenario while its load runs."""
+"""Injects the faults of a scenario while its load runs."""
 
 import asyncio
 
 from papayabay_bench.fleet.plan import failure_domain_of
 from papayabay_core.utils.clock import now
 
-DRAIN_TIMEOUT = 30.0
+DRAIN_TIMEOUT_SECONDS = 30.0
 STORE_DOWN = {"down": "close", "silent": "silent", "unavailable": "unavailable"}
 
 
-class FaultPlayer:
-    """Begins and ends faults at their times.
+class FaultInjector:
+    """Starts and ends the faults of a scenario at their times.
 
     Parameters
     ----------
@@ -22,48 +22,56 @@
         self.scenario = scenario
         self.fleet = fleet
 
-    async def play(self, starts_at):
-        """Play every fault; a slow one delays no other."""
+    async def inject_all(self, starts_at):
+        """Inject all faults concurrently, so that none delays another.
+
+        Surges are left out, since they are part of the load.
+
+        Parameters
+        ----------
+        starts_at : float
+            When the load starts, on `clock.now()`.
+        """
         async with asyncio.TaskGroup() as group:
             for fault in self.scenario.faults:
                 if fault.kind != "surge":
-                    group.create_task(self.play_one(fault, starts_at))
+                    group.create_task(self.inject(fault, starts_at))
 
-    async def play_one(self, fault, starts_at):
-        """Begin a fault when it is due, and undo it."""
+    async def inject(self, fault, starts_at):
+        """Start a fault at its time, and end it unless it is permanent."""
         await asyncio.sleep(max(0.0, starts_at + fault.start_seconds - now()))
-        begun = asyncio.create_task(self.switch(fault, True))
+        starting = asyncio.create_task(self.switch(fault, True))
         if fault.duration_seconds is not None:
             await asyncio.sleep(max(0.0, starts_at + fault.end_seconds - now()))
-            await begun
+            await starting
             await self.switch(fault, False)
-        await begun
+        await starting
 
     async def switch(self, fault, on):
-        """Begin a fault, or undo it."""
+        """Start a fault, or end it, with the method for its kind."""
         await getattr(self, f"switch_{fault.kind}")(fault, on)
 
     async def switch_slow(self, fault, on):
-        """Slow down a service."""
+        """Multiply the service times of a service's targets."""
         factor = fault.value if on else 1.0
         await self.fleet.control_service(fault.subject, slow=factor)
 
     async def switch_lie(self, fault, on):
-        """Have the load endpoints of a service say something false."""
+        """Make the targets of a service report a false load."""
         load = fault.value if on else None
         await self.fleet.control_service(fault.subject, reported_load=load)
 
     async def switch_shed(self, fault, on):
-        """Have the targets of a service shed load."""
+        """Make the targets of a service shed calls above a load."""
         above = fault.value if on else None
         await self.fleet.control_service(fault.subject, shed_above=above)
 
     async def switch_freeze(self, fault, on):
-        """Have a target take calls and work on none."""
+        """Make a target accept calls without working on them."""
         await self.fleet.control(fault.subject, frozen=on)
 
     async def switch_kill(self, fault, on):
-        """Kill a target or a daemon; it comes back cold."""
+        """Kill a target or a daemon, or restart it."""
         if fault.value == "target":
             await self.fleet.control(fault.subject, dead=on)
         elif on:
@@ -72,23 +80,23 @@
             await self.fleet.restart(fault.subject)
 
     async def switch_drain(self, fault, on):
-        """Withdraw a target, or end a daemon gracefully."""
+        """Withdraw a target or shut a daemon down gracefully, or undo it."""
         if fault.value == "target":
             await self.fleet.control(fault.subject, draining=on)
         elif on:
-            await self.fleet.drain(fault.subject, DRAIN_TIMEOUT)
+            await self.fleet.drain(fault.subject, DRAIN_TIMEOUT_SECONDS)
         else:
             await self.fleet.restart(fault.subject)
 
     async def switch_pause(self, fault, on):
-        """Stop a daemon without its noticing."""
+        """Suspend a daemon with SIGSTOP, or resume it."""
         if on:
             self.fleet.pause(fault.subject)
         else:
             self.fleet.resume(fault.subject)
 
     async def switch_lose(self, fault, on):
-        """Lose all daemons and targets of a failure domain."""
+        """Kill all daemons and targets of a domain, or restart them."""
         plan, fleet = self.fleet.plan, self.fleet
         names = [
             name
@@ -105,21 +113,21 @@
         await asyncio.gather(*(fleet.control(name, dead=False) for name in targets))
 
     async def switch_store(self, fault, on):
-        """Take the platform's store away."""
-        await self.store(on, down=STORE_DOWN[fault.value])
+        """Make the platform's store unavailable."""
+        await self.set_store_faults(on, down=STORE_DOWN[fault.value])
 
     async def switch_store_slow(self, fault, on):
-        """Slow down the platform's store."""
-        await self.store(on, slow_ms=fault.value)
+        """Delay the answers of the platform's store."""
+        await self.set_store_faults(on, slow_ms=fault.value)
 
     async def switch_store_loses(self, fault, on):
-        """Lose answers of writes that took effect."""
-        await self.store(on, lost_answer=fault.value)
+        """Lose the answers of a share of the successful writes."""
+        await self.set_store_faults(on, lost_answer=fault.value)
 
     async def switch_store_stale(self, fault, on):
-        """Have reads see the past."""
-        await self.store(on, stale_ms=fault.value)
+        """Make reads return values of the past."""
+        await self.set_store_faults(on, stale_ms=fault.value)
 
-    async def store(self, on, **faults):
-        """Set the platform's faults, or none."""
+    async def set_store_faults(self, on, **faults):
+        """Set the platform's faults, or clear them."""
         await self.fleet.platform_faults(**(faults if on else {}))
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/parser.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/parser.py
@@ -1,4 +1,4 @@
-"""Reads scenario files; every fault is told with line and column."""
+"""Parses scenario files and reports errors with line and column."""
 
 from functools import cache
 from pathlib import Path
@@ -10,12 +10,13 @@
 from papayabay_bench.scenarios.errors import Position, ScenarioError
 from papayabay_bench.scenarios.reader import Reader
 
-MOST_EXPECTED = 6
+MAX_EXPECTED = 6
+"""Number of expected words that an error message lists."""
 
 
 @cache
 def grammar():
-    """Return the parser of the language."""
+    """Return the parser of the scenario language."""
     return Lark.open(
         "grammar.lark",
         rel_to=__file__,
@@ -26,29 +27,29 @@
 
 
 def load_scenario(path):
-    """Return the scenario of a file.
+    """Read a scenario from a file.
 
     Raises
     ------
     ScenarioError
-        With file, line, column and one sentence.
+        When the file can't be read or is no valid scenario.
     """
     try:
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise ScenarioError(
-            f"It can't be read: {error}.", Position(1, 1), path
+            f"Can't read the file: {error}.", Position(1, 1), path
         ) from None
     return parse_scenario(text, str(path))
 
 
 def parse_scenario(text, source="scenario"):
-    """Return the scenario written in a text.
+    """Parse and validate the text of a scenario.
 
     Raises
     ------
     ScenarioError
-        With source, line, column and one sentence.
+        For the first error in the text.
     """
     try:
         scenario = Reader(text).read(parse_tree(text))
@@ -66,39 +67,41 @@
         return grammar().parse(text)
     except UnexpectedCharacters as error:
         found = text[error.pos_in_stream :].split()[0]
-        raise unexpected(found, error.allowed, error.line, error.column) from None
+        raise unexpected_word(found, error.allowed, error.line, error.column) from None
     except UnexpectedEOF as error:
-        raise at_end(text, error.expected) from None
+        raise unexpected_end(text, error.expected) from None
     except UnexpectedToken as error:
         if error.token.type == "$END":
-            raise at_end(text, error.accepts or error.expected) from None
+            raise unexpected_end(text, error.accepts or error.expected) from None
         expected = error.accepts or error.expected
-        raise unexpected(error.token, expected, error.line, error.column) from None
+        raise unexpected_word(error.token, expected, error.line, error.column) from None
 
 
-def unexpected(found, expected, line, column):
-    """Return the error of a word that can't stand where it does."""
-    message = f"{found!s} can't stand here; {expectation(expected)}."
+def unexpected_word(found, expected, line, column):
+    """Return the error for a word that is not allowed at its position."""
+    message = f"{found!s} is not allowed here; {list_expected(expected)}."
     return ScenarioError(message, Position(line, column))
 
 
-def at_end(text, expected):
-    """Return the error of a text that ends too early."""
+def unexpected_end(text, expected):
+    """Return the error for a text that ends too early."""
     lines = text.splitlines() or [""]
     position = Position(len(lines), len(lines[-1]) + 1)
-    return ScenarioError(f"The file ends too early; {expectation(expected)}.", position)
+    return ScenarioError(
+        f"Unexpected end of file; {list_expected(expected)}.", position
+    )
 
 
-def expectation(terminals):
-    """Return what would have been right, in words."""
-    names = sorted(readable(name) for name in terminals or () if name != "$END")
+def list_expected(terminals):
+    """Return text that lists the allowed terminals."""
+    names = sorted(terminal_text(name) for name in terminals or () if name != "$END")
     if not names:
-        return "nothing more is expected"
-    more = " …" if len(names) > MOST_EXPECTED else ""
-    return f"expected {', '.join(names[:MOST_EXPECTED])}{more}"
+        return "expected the end of the file"
+    more = " …" if len(names) > MAX_EXPECTED else ""
+    return f"expected {', '.join(names[:MAX_EXPECTED])}{more}"
 
 
-def readable(terminal):
-    """Return a terminal's name as a reader would write it."""
+def terminal_text(terminal):
+    """Return a terminal as it is written in a scenario."""
     words = {"LBRACE": "{", "RBRACE": "}", "EQUAL": "=", "DOT": ".", "COMMA": ","}
     return words.get(terminal) or terminal.lower().replace("_", "-")
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/policies.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/policies.py
@@ -1,4 +1,4 @@
-"""The policies that a scenario can be run under, by name."""
+"""Defines the named policies that scenarios can be run with."""
 
 PLAIN_RELAY = {
     "admission": "open",
@@ -13,7 +13,8 @@
     "outlier_ejection": False,
     "retry_after": False,
 }
-"""No control: a relay that repeats every failed call, 3 times at each hop."""
+"""No overload control: a proxy that retries every failed call up to 3 times
+at each hop."""
 
 POLICIES = {
     "ranked": {},
@@ -29,23 +30,25 @@
     "codel": {"admission": "codel"},
     "gradient": {"admission": "gradient"},
 }
-"""Changes to the default decisions, by policy name."""
+"""Overrides of the default decisions, by policy name."""
 
 DEFAULT_POLICY = "ranked"
 
 
 class UnknownPolicy(Exception):
-    """No policy has this name."""
+    """A policy name that `POLICIES` doesn't have."""
 
 
 def decisions_of(name):
-    """Return the decisions of a policy.
+    """Return the overrides of the default decisions for a policy.
 
     Raises
     ------
     UnknownPolicy
-        Naming those that there are.
+        When there is no such policy; lists the known ones.
     """
     if name not in POLICIES:
-        raise UnknownPolicy(f"no policy {name}; there are {', '.join(POLICIES)}")
+        raise UnknownPolicy(
+            f"unknown policy {name}; known policies: {', '.join(POLICIES)}"
+        )
     return POLICIES[name]
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/reader.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/reader.py
@@ -1,4 +1,4 @@
-"""Turns the parse tree of a scenario into data."""
+"""Builds a scenario from its parse tree."""
 
 from lark import Transformer, v_args
 
@@ -17,16 +17,16 @@
 
 
 def position_of(token):
-    """Return where a token, or the node's first token, stands."""
+    """Return the position of a token in the file."""
     return Position(token.line, token.column)
 
 
 @v_args(inline=True)
-class Values(Transformer):
-    """Reads the literals; times are in seconds, shares are fractions."""
+class LiteralTransformer(Transformer):
+    """Converts literals; times become seconds, and shares fractions."""
 
     def NUMBER(self, token):  # noqa: N802
-        """Return a whole number as an int."""
+        """Return an int for a whole number, else a float."""
         value = float(token)
         return int(value) if value.is_integer() else value
 
@@ -49,13 +49,13 @@
         return token.update(value=token[1:-1])
 
 
-PLAIN = {"true": True, "false": False}
+BOOLEANS = {"true": True, "false": False}
 
 
-def plain_value(word):
-    """Return a word of a setting as true, false, a number or itself."""
-    if word in PLAIN:
-        return PLAIN[word]
+def setting_value(word):
+    """Return the value of a setting: a boolean, a number or a string."""
+    if word in BOOLEANS:
+        return BOOLEANS[word]
     for kind in (int, float):
         try:
             return kind(word)
@@ -70,12 +70,14 @@
 
 
 class Reader:
-    """Builds a scenario from its lines.
+    """Builds a scenario from the statements of a parse tree.
+
+    There is a `read_` method for each rule of the grammar's top level.
 
     Parameters
     ----------
     text : str
-        For the expectations' own words.
+        The scenario's text; expectations keep their lines of it.
     """
 
     def __init__(self, text):
@@ -84,54 +86,54 @@
 
     def read(self, tree):
         """Return the scenario of a parse tree."""
-        for node in Values().transform(tree).children:
+        for node in LiteralTransformer().transform(tree).children:
             getattr(self, f"read_{node.data}")(node)
         return self.scenario
 
     def read_scenario(self, node):
-        """Take the name."""
+        """Set the name."""
         self.scenario.name = str(node.children[0])
 
     def read_scale(self, node):
-        """Take the description of the scale."""
+        """Set the description of the scale."""
         self.scenario.scale = str(node.children[0])
 
     def read_domains(self, node):
-        """Take the number of failure domains."""
+        """Set the number of failure domains."""
         self.scenario.domains = node.children[0]
 
     def read_entries(self, node):
-        """Take the number of daemons without a target."""
+        """Set the number of daemons without a target."""
         self.scenario.entries = node.children[0]
 
     def read_policy(self, node):
-        """Take the override of a decision."""
+        """Add the override of a policy decision."""
         name, word = node.children
-        self.scenario.decisions[str(name)] = plain_value(word)
+        self.scenario.decisions[str(name)] = setting_value(word)
 
     def read_overload(self, node):
-        """Take the stretch that counts as overload."""
+        """Set the time that counts as overload."""
         self.scenario.overload = tuple(node.children)
 
     def read_service(self, node):
-        """Take a service."""
-        read_block(node, Service, SERVICE_LINES, self.scenario.services)
+        """Add a service."""
+        add_block(node, Service, SERVICE_LINES, self.scenario.services)
 
     def read_load(self, node):
-        """Take a load."""
-        read_block(node, Load, LOAD_LINES, self.scenario.loads)
+        """Add a load."""
+        add_block(node, Load, LOAD_LINES, self.scenario.loads)
 
     def read_fault(self, node):
-        """Take a fault."""
-        at, seconds, action = node.children
-        subject, value = FAULTS[action.data](*action.children)
+        """Add a fault."""
+        start, duration, action = node.children
+        subject, value = FAULT_ACTIONS[action.data](*action.children)
         position = Position(node.meta.line, node.meta.column)
         kind = str(action.data)
-        fault = Fault(kind, str(subject), value, at, seconds, position)
+        fault = Fault(kind, str(subject), value, start, duration, position)
         self.scenario.faults.append(fault)
 
     def read_expect(self, node):
-        """Take an expectation."""
+        """Add an expectation."""
         *words, comparison, (value, of_bound) = (
             child.children if hasattr(child, "data") else child
             for child in node.children
@@ -148,31 +150,42 @@
         self.scenario.expectations.append(expectation)
 
 
-def refuse_twice(known, name, what):
-    """Raise if a name was given before."""
-    if name in known:
-        raise ScenarioError(f"There are two {what}s named {name}.", position_of(name))
+def check_unique(defined, name, what):
+    """Raise `ScenarioError` if a name is already defined."""
+    if name in defined:
+        raise ScenarioError(f"Duplicate {what} name {name}.", position_of(name))
+
 
+def add_block(node, make, setters, defined):
+    """Create the service or load of a block and add it to `defined`.
 
-def read_block(node, make, setters, known):
-    """Add the named thing of a block, with what its lines say of it."""
+    Parameters
+    ----------
+    node : Tree
+    make : type
+        `Service` or `Load`.
+    setters : dict of str to callable
+        Functions that apply a line of the block, by grammar rule.
+    defined : dict
+        Services or loads by name.
+    """
     name, *lines = node.children
-    refuse_twice(known, name, str(node.data))
-    thing = make(str(name), position_of(name))
+    check_unique(defined, name, str(node.data))
+    item = make(str(name), position_of(name))
     for line in lines:
-        setters[line.data](thing, *line.children)
-    known[thing.name] = thing
+        setters[line.data](item, *line.children)
+    defined[item.name] = item
 
 
-def set_cold(service, seconds, factor):
-    """Take a service's cold start."""
+def set_cold_start(service, seconds, factor):
+    """Set how long and by how much targets are slow after their start."""
     service.cold_start_ms = milliseconds(seconds)
     service.cold_factor = factor
 
 
 def add_call(service, name, method, path, importance, *parts):
-    """Take a call of a service."""
-    refuse_twice(service.calls, name, "call")
+    """Add a call to a service."""
+    check_unique(service.calls, name, "call")
     call = Call(str(name), str(method), str(path), str(importance), position_of(name))
     for part in parts:
         CALL_PARTS[part.data](call, *part.children)
@@ -180,7 +193,7 @@
 
 
 def set_work(call, seconds, spread):
-    """Take the time of a call's own work."""
+    """Set the distribution of the slot time of a call's own work."""
     call.work_ms = seconds * 1_000
     if spread is None:
         return
@@ -191,37 +204,37 @@
 
 
 def set_steps(call, together, *steps):
-    """Take the calls that a call makes."""
+    """Set the outgoing calls of a call."""
     call.together = together is not None
     call.steps = [read_step(*step.children) for step in steps]
 
 
 def read_step(callname, retries):
-    """Return one call that a call makes."""
+    """Return one outgoing call of a call."""
     service, call = callname.children
     number = retries.children[0] if retries else 0
     return Step(str(service), str(call), number, position_of(service))
 
 
 def read_share(percent, callname):
-    """Return one share of a mix."""
+    """Return one share of a load's mix."""
     service, call = callname.children
     return Share(percent, str(service), str(call), position_of(service))
 
 
 def set_retry(load, number, pause):
-    """Take how clients repeat."""
+    """Set how often clients retry, and the pause before a retry."""
     load.retries = number
     load.pause_ms = 0 if pause is None else milliseconds(pause)
 
 
 def setter(name, convert=lambda value: value):
-    """Return a function that sets one attribute."""
+    """Return a function that sets an attribute to a converted value."""
     return lambda subject, value: setattr(subject, name, convert(value))
 
 
 def flag(name, value):
-    """Return a function that sets one attribute to a fixed value."""
+    """Return a function that sets an attribute to a fixed value."""
     return lambda subject: setattr(subject, name, value)
 
 
@@ -234,20 +247,22 @@
     "credits": setter("credits"),
     "then": set_steps,
 }
+"""Functions that apply a part of a call's line, by grammar rule."""
 SERVICE_LINES = {
     "upstreams": setter("upstreams"),
     "slots": setter("slots"),
     "connections": setter("connections"),
     "announces": setter("announced_slots"),
     "releases": flag("holds_slot", False),
-    "cold": set_cold,
+    "cold": set_cold_start,
     "deadline": setter("deadline_ms", milliseconds),
     "credits": setter("credits"),
     "setting": lambda service, group, key, word: service.settings.append(
-        (str(group), str(key), plain_value(word))
+        (str(group), str(key), setting_value(word))
     ),
     "call": add_call,
 }
+"""Functions that apply a line of a service's block, by grammar rule."""
 LOAD_LINES = {
     "mix": lambda load, *shares: load.mix.extend(
         read_share(*share.children) for share in shares
@@ -255,15 +270,16 @@
     "steady": lambda load, rate, seconds: load.phases.append(
         LoadPhase(rate, rate, seconds)
     ),
-    "ramp": lambda load, begins, ends, seconds: load.phases.append(
-        LoadPhase(begins, ends, seconds)
+    "ramp": lambda load, start_rate, end_rate, seconds: load.phases.append(
+        LoadPhase(start_rate, end_rate, seconds)
     ),
     "wait": setter("wait_ms", milliseconds),
     "retry": set_retry,
     "honour": flag("honours_retry_after", True),
     "paced": flag("paced", True),
 }
-FAULTS = {
+"""Functions that apply a line of a load's block, by grammar rule."""
+FAULT_ACTIONS = {
     "slow": lambda service, factor: (service, factor),
     "surge": lambda factor, load: (load or "", factor),
     "kill": lambda kind, name: (name, str(kind)),
@@ -273,8 +289,9 @@
     "lose": lambda number: (f"domain-{number}", "domain"),
     "lie": lambda service, load: (service, load),
     "shed": lambda service, above: (service, above),
-    "store": lambda how: ("store", str(how)),
+    "store": lambda mode: ("store", str(mode)),
     "store_slow": lambda seconds: ("store", milliseconds(seconds)),
     "store_loses": lambda share: ("store", share),
     "store_stale": lambda seconds: ("store", milliseconds(seconds)),
 }
+"""Functions that return the subject and the value of a fault, by action."""
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/runner.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: real daemons, real sockets, stand-in targets."""
+"""Runs a scenario with real daemons and stand-in targets."""
 
 import asyncio
 import tempfile
@@ -8,22 +8,27 @@
 from papayabay_bench.fleet import Fleet
 from papayabay_bench.load.runner import processes_for, run_load
 from papayabay_bench.scenarios.bound import explain, segments
-from papayabay_bench.scenarios.expectations import MeasureSelector, judge, measure
-from papayabay_bench.scenarios.faults import FaultPlayer
+from papayabay_bench.scenarios.expectations import (
+    MeasureSelector,
+    compute_measure,
+    evaluate,
+)
+from papayabay_bench.scenarios.faults import FaultInjector
 from papayabay_bench.scenarios.measures import RunData, windows_of
 from papayabay_bench.scenarios.plans import fleet_plan, load_specs, policy_document
 from papayabay_bench.scenarios.result import RunResult, series_of
 from papayabay_bench.scenarios.samples import Sampler, admission_counts
 from papayabay_bench.targets.records import read_records
 
-SETTLE_SECONDS = 0.5
-"""After the last answer, for the targets' records to be written out."""
-MEMBERS_TIMEOUT = 30.0
-SPARE_GENERATORS = 1
-"""A generator near its limit is late itself when clients retry, and then
-offers less than the scenario says; `late` shows it."""
+RECORD_FLUSH_SECONDS = 0.5
+"""Time after the last answer for the targets to flush their records."""
+MEMBERS_TIMEOUT_SECONDS = 30.0
+EXTRA_GENERATORS = 1
+"""Generators beyond those needed for the rate. A generator near its limit
+falls behind when clients retry, and then offers less load than the scenario
+specifies; the measure `late` shows this."""
 
-STANDARD = (
+STANDARD_MEASURES = (
     MeasureSelector("goodput", None, "before"),
     MeasureSelector("goodput", None, "overload"),
     MeasureSelector("goodput", None, "after"),
@@ -44,10 +49,10 @@
     MeasureSelector("late", None, "whole"),
     MeasureSelector("unsent", None, "whole"),
 )
-"""Measures of every run, whatever it expects."""
+"""Measures that are computed for every run."""
 
 
-async def run_scenario(scenario, policy, seed, keep=None):
+async def run_scenario(scenario, policy, seed, keep_directory=None):
     """Run a scenario once.
 
     Parameters
@@ -56,8 +61,8 @@
     policy : str
         Name of one of `POLICIES`.
     seed : int
-    keep : str or Path or None
-        Where logs and records stay; a temporary place when None.
+    keep_directory : str or Path or None
+        Directory for logs and records; with None they are deleted.
 
     Returns
     -------
@@ -66,36 +71,38 @@
     Raises
     ------
     StartFailed, LoadFailed, TimeoutError
-        When the bench itself could not do its work.
+        When the bench could not carry out the run.
     """
-    if keep is None:
+    if keep_directory is None:
         with tempfile.TemporaryDirectory(prefix="scenario-") as directory:
-            return await run_within(scenario, policy, seed, Path(directory))
-    return await run_within(scenario, policy, seed, Path(keep))
+            return await run_in_directory(scenario, policy, seed, Path(directory))
+    return await run_in_directory(scenario, policy, seed, Path(keep_directory))
 
 
-async def run_within(scenario, policy, seed, directory):
-    """Run a scenario with its files in a directory."""
+async def run_in_directory(scenario, policy, seed, directory):
+    """Run a scenario with its logs and records in a directory."""
     async with Fleet(fleet_plan(scenario, seed), directory) as fleet:
         version = await fleet.apply(policy_document(scenario, policy))
-        await fleet.wait_members(MEMBERS_TIMEOUT)
+        await fleet.wait_members(MEMBERS_TIMEOUT_SECONDS)
         await fleet.wait_version(version)
-        run_data = await collect(scenario, fleet, seed, directory)
-    return summary(scenario, policy, seed, run_data)
+        run_data = await collect_run_data(scenario, fleet, seed, directory)
+    return make_result(scenario, policy, seed, run_data)
 
 
-async def collect(scenario, fleet, seed, directory):
-    """Offer the load, play the faults and return what was seen."""
+async def collect_run_data(scenario, fleet, seed, directory):
+    """Run the loads, inject the faults and return the recorded data."""
     sampler = Sampler(fleet)
     sampling = asyncio.create_task(sampler.run())
     started = asyncio.get_running_loop().create_future()
-    playing = asyncio.create_task(play(FaultPlayer(scenario, fleet), started))
+    injecting = asyncio.create_task(
+        inject_faults(FaultInjector(scenario, fleet), started)
+    )
     try:
-        requests = await offer(scenario, fleet, seed, directory, started)
-        await playing
+        requests = await run_loads(scenario, fleet, seed, directory, started)
+        await injecting
     finally:
-        await stop(sampling, playing)
-    await asyncio.sleep(SETTLE_SECONDS)
+        await cancel(sampling, injecting)
+    await asyncio.sleep(RECORD_FLUSH_SECONDS)
     records = read_records(fleet.record_paths())
     windows = windows_of(scenario, started.result())
     return RunData(
@@ -109,13 +116,13 @@
     )
 
 
-async def play(player, started):
-    """Play the faults from the load's start."""
-    await player.play(await started)
+async def inject_faults(injector, started):
+    """Inject the faults when the load's start time is known."""
+    await injector.inject_all(await started)
 
 
-async def stop(*tasks):
-    """Cancel tasks and wait for their end."""
+async def cancel(*tasks):
+    """Cancel tasks and wait until they are done."""
     for task in tasks:
         task.cancel()
     for task in tasks:
@@ -123,10 +130,13 @@
             await task
 
 
-async def offer(scenario, fleet, seed, directory, started):
-    """Offer all loads at once and return their requests."""
+async def run_loads(scenario, fleet, seed, directory, started):
+    """Run all loads concurrently and return their requests.
+
+    Sets the result of the future `started` to the start of the first load.
+    """
 
-    def keep_start(starts_at):
+    def set_start(starts_at):
         if not started.done():
             started.set_result(starts_at)
 
@@ -134,18 +144,21 @@
     async with asyncio.TaskGroup() as group:
         runs = []
         for name, spec in specs.items():
-            position = directory / f"load-{name}"
-            position.mkdir(parents=True, exist_ok=True)
-            processes = processes_for(spec) + SPARE_GENERATORS
-            run = run_load(spec, position, processes, keep_start)
+            load_directory = directory / f"load-{name}"
+            load_directory.mkdir(parents=True, exist_ok=True)
+            processes = processes_for(spec) + EXTRA_GENERATORS
+            run = run_load(spec, load_directory, processes, set_start)
             runs.append(group.create_task(run))
     return [request for run in runs for request in run.result()]
 
 
-def summary(scenario, policy, seed, run_data):
-    """Return what a run found."""
-    begins = run_data.windows["whole"].begins
-    measures = {selector.text: measure(run_data, selector) for selector in STANDARD}
+def make_result(scenario, policy, seed, run_data):
+    """Compute the measures and verdicts of a run."""
+    load_start = run_data.windows["whole"].begins
+    measures = {
+        selector.text: compute_measure(run_data, selector)
+        for selector in STANDARD_MEASURES
+    }
     window = run_data.windows.get("overload")
     if window and window.seconds:
         bound = run_data.bound(window)
@@ -159,12 +172,12 @@
         policy=policy,
         seed=seed,
         windows={
-            name: (one.begins - begins, one.ends - begins)
+            name: (one.begins - load_start, one.ends - load_start)
             for name, one in run_data.windows.items()
         },
-        bound_lines=explain(run_data.segments, begins),
+        bound_lines=explain(run_data.segments, load_start),
         measures=measures,
-        verdicts=[judge(run_data, one) for one in scenario.expectations],
+        verdicts=[evaluate(run_data, one) for one in scenario.expectations],
         admission=admission_counts(
             run_data.samples, window or run_data.windows["whole"]
         ),
--- a/tests/unit/bench/test_scenario_parser.py
+++ b/tests/unit/bench/test_scenario_parser.py
@@ -74,10 +74,10 @@
 
 class FaultTest(unittest.TestCase):
     def test_strange_word(self):
-        self.assertIn("f:18:1: bogus can't stand here", fault_of(HEAD + "bogus\n"))
+        self.assertIn("f:18:1: bogus is not allowed here", fault_of(HEAD + "bogus\n"))
 
     def test_unfinished(self):
-        self.assertIn("ends too early", fault_of("service front {"))
+        self.assertIn("Unexpected end of file", fault_of("service front {"))
 
     def test_unknown_names(self):
         line = "at 1 s for 1 s slow middle by 2\n"
@@ -91,12 +91,12 @@
 
     def test_endless_graph(self):
         text = HEAD.replace("20 ms fixed", "20 ms fixed then front.order")
-        self.assertIn("reaches itself", fault_of(text))
+        self.assertIn("Call order calls itself", fault_of(text))
 
     def test_two_switches_at_a_time(self):
         line = "at 1 s for 1 s slow back by 2\n"
-        self.assertIn("still in force", fault_of(HEAD + line + line))
+        self.assertIn("still active", fault_of(HEAD + line + line))
 
     def test_unknown_measure(self):
-        self.assertIn("speed is no measure", fault_of(HEAD + "expect speed >= 1\n"))
-        self.assertIn("no stretch overload", fault_of(HEAD + "expect wasted = 0\n"))
+        self.assertIn("Unknown measure speed", fault_of(HEAD + "expect speed >= 1\n"))
+        self.assertIn("no window overload", fault_of(HEAD + "expect wasted = 0\n"))
