--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/bound.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/bound.py
@@ -1,12 +1,15 @@
-"""The most that a fleet could complete at best, moment by moment.
-
-The stretch is cut wherever a fault begins or ends. In each piece, the
-capacity of a service is its slots, over all upstreams that are there. What
-a request needs of it is its visits times the time that each holds a slot,
-with the slow factors then in force; a target that keeps its slot while its
-own calls run holds it for their unqueued time too. The offered requests of
-the piece are filled in by importance class; within a class, all calls grow
-by the same share until a service they use is full.
+"""Computes an upper bound of a fleet's goodput over the time of a run.
+
+The run is divided into segments at each begin and end of a fault. Within a
+segment, the capacity of a service is the number of slots of its available
+upstreams. A request needs slot time at a service: the number of its calls
+there, times the time that a call holds a slot, times the factor of an
+active `slow` fault. A target that holds its slot while its outgoing calls
+run needs the time of these calls too, without any queueing.
+
+Capacity is allocated to the offered requests by importance class, the most
+important first. Within a class the same share of every call is admitted,
+until a service that the call uses is full.
 """
 
 from collections import Counter, defaultdict
@@ -19,23 +22,24 @@
 from papayabay_bench.scenarios.plans import fleet_plan
 
 CLASSES = ("critical", "normal", "sheddable")
-FULL = 1e-9
-CUTTING = ("kill", "freeze", "pause", "lose")
-"""Kinds of fault that take upstreams away for as long as they last."""
+EPSILON = 1e-9
+UNAVAILABLE_KINDS = ("kill", "freeze", "pause", "lose")
+"""Kinds of fault that make upstreams unavailable while they are active."""
 
 
 @dataclass(slots=True)
 class Segment:
-    """A stretch in which capacity and faults stay the same.
+    """A part of a run in which capacity and active faults are constant.
 
     Attributes
     ----------
-    offered, possible : dict of str to float
-        Requests per second by call.
+    window : Window
+    offered, achievable : dict of str to float
+        Requests per second by call: offered, and completed at best.
     needs : dict of str to dict of str to float
-        Slot seconds of a request at each service, by call.
+        Slot seconds of one request at each service, by call.
     slots : dict of str to int
-        Slots of each service.
+        Available slots of each service.
     """
 
     window: Window
@@ -46,60 +50,60 @@
 
 
 def segments(scenario, requests, whole):
-    """Return the pieces of a run.
+    """Return the segments of a run.
 
     Parameters
     ----------
     scenario : Scenario
     requests : list of Request
     whole : Window
-        The load.
+        Time from the start to the end of the load.
     """
-    marks = {0.0, scenario.seconds}
-    marks |= {
-        mark
+    boundaries = {0.0, scenario.seconds}
+    boundaries |= {
+        time
         for fault in scenario.faults
-        for mark in (fault.start_seconds, fault.end_seconds)
+        for time in (fault.start_seconds, fault.end_seconds)
     }
     if scenario.trigger:
-        marks |= set(scenario.trigger)
-    kept = sorted(mark for mark in marks if 0.0 <= mark <= scenario.seconds)
+        boundaries |= set(scenario.trigger)
+    within_run = sorted(time for time in boundaries if 0.0 <= time <= scenario.seconds)
     return [
-        make_segment(scenario, requests, whole, begins, ends)
-        for begins, ends in pairwise(kept)
-        if ends - begins > FULL
+        make_segment(scenario, requests, whole, start, end)
+        for start, end in pairwise(within_run)
+        if end - start > EPSILON
     ]
 
 
-def make_segment(scenario, requests, whole, begins, ends):
-    """Return the piece between two times of the load."""
-    moment = (begins + ends) / 2
-    faults = [fault for fault in scenario.faults if fault.is_active(moment)]
+def make_segment(scenario, requests, whole, start, end):
+    """Return the segment between two times in seconds of the load."""
+    middle = (start + end) / 2
+    faults = [fault for fault in scenario.faults if fault.is_active(middle)]
     plan = fleet_plan(scenario, 0)
-    window = Window(whole.begins + begins, whole.begins + ends)
-    made = Segment(
+    window = Window(whole.begins + start, whole.begins + end)
+    segment = Segment(
         window=window,
         offered=offered_rates(requests, window),
         needs=needs_of_calls(scenario, plan, slow_factors(faults)),
-        slots=slots_left(scenario, plan, faults),
+        slots=available_slots(scenario, plan, faults),
     )
-    made.achievable = fill(scenario, made)
-    return made
+    segment.achievable = achievable_rates(scenario, segment)
+    return segment
 
 
 def offered_rates(requests, window):
     """Return the requests per second of each call that were due."""
-    counted = Counter(request.call for request in requests if window.holds(request.due))
-    return {name: number / window.seconds for name, number in counted.items()}
+    counts = Counter(request.call for request in requests if window.holds(request.due))
+    return {name: number / window.seconds for name, number in counts.items()}
 
 
 def slow_factors(faults):
-    """Return the factor on the service times of each slowed service."""
+    """Return the service time factors of the services with a `slow` fault."""
     return {fault.subject: fault.value for fault in faults if fault.kind == "slow"}
 
 
 def needs_of_calls(scenario, plan, slow):
-    """Return the slot seconds that one request of each call needs."""
+    """Return the slot seconds of one request at each service, by call."""
     graph = Graph(plan.services, slow)
     needs = {}
     for service in scenario.services.values():
@@ -110,23 +114,27 @@
     return needs
 
 
-def slots_left(scenario, plan, faults):
-    """Return the slots of each service without what faults took away."""
-    gone = {name for fault in faults for name in taken_away(scenario, plan, fault)}
+def available_slots(scenario, plan, faults):
+    """Return the slots of each service at its available upstreams."""
+    unavailable = {
+        name
+        for fault in faults
+        for name in unavailable_upstreams(scenario, plan, fault)
+    }
     return {
         service.name: service.slots
         * sum(
-            f"{service.name}-{number}" not in gone
+            f"{service.name}-{number}" not in unavailable
             for number in range(service.upstreams)
         )
         for service in plan.services
     }
 
 
-def taken_away(scenario, plan, fault):
-    """Yield the upstreams that a fault takes away while it lasts."""
-    drained = fault.kind == "drain" and fault.duration_seconds is not None
-    if fault.kind not in CUTTING and not drained:
+def unavailable_upstreams(scenario, plan, fault):
+    """Yield the upstreams that are unavailable while a fault is active."""
+    is_drain = fault.kind == "drain" and fault.duration_seconds is not None
+    if fault.kind not in UNAVAILABLE_KINDS and not is_drain:
         return
     for service in scenario.services.values():
         for number in range(service.upstreams):
@@ -135,9 +143,9 @@
                 yield name
 
 
-def fill(scenario, segment):
-    """Return the requests per second of each call that fit, by class."""
-    room = dict(segment.slots)
+def achievable_rates(scenario, segment):
+    """Return the achievable requests per second of each call."""
+    free_slots = dict(segment.slots)
     achievable = {}
     for importance in CLASSES:
         names = [
@@ -145,39 +153,46 @@
             for name, rate in segment.offered.items()
             if rate and importance_of(scenario, name) == importance
         ]
-        achievable |= fill_class(segment, names, room)
+        achievable |= allocate_class(segment, names, free_slots)
     return achievable
 
 
 def importance_of(scenario, name):
-    """Return the class of a call."""
+    """Return the importance class of a call."""
     service, _, call = name.partition(".")
     return scenario.services[service].calls[call].importance
 
 
-def fill_class(segment, names, room):
-    """Fill in the calls of one class and take their needs out of the room."""
+def allocate_class(segment, names, free_slots):
+    """Allocate slots to the calls of one class; return their rates.
+
+    All calls are increased by the same share of their offered rate until
+    each is fully admitted or a service that it uses has no free slot. The
+    slots that they take are subtracted from `free_slots`.
+    """
     shares = dict.fromkeys(names, 0.0)
-    growing = set(names)
-    while growing:
-        load = load_of(segment, growing)
-        grown = growth(load, room, 1.0 - max(shares[name] for name in growing))
-        for name in growing:
-            shares[name] += grown
+    increasing = set(names)
+    while increasing:
+        load = offered_slots(segment, increasing)
+        step = largest_step(
+            load, free_slots, 1.0 - max(shares[name] for name in increasing)
+        )
+        for name in increasing:
+            shares[name] += step
         for service, needed in load.items():
-            room[service] -= needed * grown
-        full = {service for service in load if room[service] <= FULL}
-        stopped = {
+            free_slots[service] -= needed * step
+        full = {service for service in load if free_slots[service] <= EPSILON}
+        finished = {
             name
-            for name in growing
-            if shares[name] >= 1.0 - FULL or full & set(segment.needs[name])
+            for name in increasing
+            if shares[name] >= 1.0 - EPSILON or full & set(segment.needs[name])
         }
-        growing -= stopped
+        increasing -= finished
     return {name: segment.offered[name] * share for name, share in shares.items()}
 
 
-def load_of(segment, names):
-    """Return the slots that the whole offer of some calls would take."""
+def offered_slots(segment, names):
+    """Return the slots that all offered requests of some calls would need."""
     load = defaultdict(float)
     for name in names:
         for service, seconds in segment.needs[name].items():
@@ -185,44 +200,52 @@
     return {service: needed for service, needed in load.items() if needed}
 
 
-def growth(load, room, most):
-    """Return by how much all shares can grow until something is full."""
+def largest_step(load, free_slots, limit):
+    """Return the largest share of a load that fits into the free slots.
+
+    The result is at most `limit`.
+    """
     return min(
-        [most, *(max(0.0, room[name]) / needed for name, needed in load.items())]
+        [limit, *(max(0.0, free_slots[name]) / needed for name, needed in load.items())]
     )
 
 
-def achievable_rate(found, window, importance=None, scenario=None):
-    """Return the mean requests per second that fit within a window."""
+def achievable_rate(segments, window, importance=None, scenario=None):
+    """Return the mean achievable requests per second within a window."""
     total = 0.0
-    for one in found:
-        begins = max(one.window.begins, window.begins)
-        ends = min(one.window.ends, window.ends)
-        if ends <= begins:
+    for segment in segments:
+        start = max(segment.window.begins, window.begins)
+        end = min(segment.window.ends, window.ends)
+        if end <= start:
             continue
-        total += (ends - begins) * sum(
+        total += (end - start) * sum(
             rate
-            for name, rate in one.achievable.items()
+            for name, rate in segment.achievable.items()
             if importance is None or importance_of(scenario, name) == importance
         )
     return total / window.seconds if window.seconds else 0.0
 
 
-def explain(found, begins):
-    """Return lines that say how the bound of each piece was computed."""
-    return [line for segment in found for line in explain_segment(segment, begins)]
+def explain(segments, load_start):
+    """Return text lines that show how each segment's bound was computed.
+
+    Their times are seconds from `load_start`.
+    """
+    return [
+        line for segment in segments for line in explain_segment(segment, load_start)
+    ]
 
 
-def explain_segment(segment, begins):
-    """Yield the lines of one piece, its fullest service first."""
+def explain_segment(segment, load_start):
+    """Yield the text lines of one segment, its bottleneck service first."""
     window = segment.window
     offered = sum(segment.offered.values())
     achievable = sum(segment.achievable.values())
     yield (
-        f"{window.begins - begins:5.1f} s to {window.ends - begins:.1f} s: "
+        f"{window.begins - load_start:5.1f} s to {window.ends - load_start:.1f} s: "
         f"offered {offered:.0f}/s, at best {achievable:.0f}/s"
     )
-    load = load_of(segment, segment.offered)
+    load = offered_slots(segment, segment.offered)
     for service in sorted(load, key=lambda name: segment.slots[name] / load[name]):
         slots = segment.slots[service]
         per_request = load[service] / offered
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/plans.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/plans.py
@@ -1,4 +1,4 @@
-"""What a scenario asks of the fleet, the policy and the load tool."""
+"""Converts a scenario into a fleet plan, a policy and load specifications."""
 
 import re
 from itertools import pairwise
@@ -8,13 +8,14 @@
 from papayabay_bench.scenarios.policies import decisions_of
 from papayabay_bench.targets.specification import CallPath, OutgoingCall, ServiceTime
 
-RAMP_STEP = 0.2
+RAMP_STEP_SECONDS = 0.2
 SEEDS_PER_RUN = 1_000
+"""Seeds reserved for the loads of one run, so that no two loads share one."""
 PLACEHOLDER = re.compile(r"\{[^/{}]*\}|\*$")
 
 
 def fleet_plan(scenario, seed):
-    """Return the fleet that a scenario needs."""
+    """Return the plan of the fleet that a scenario describes."""
     return FleetPlan(
         services=[service_plan(scenario, one) for one in scenario.services.values()],
         failure_domains=scenario.domains,
@@ -25,7 +26,7 @@
 
 
 def service_plan(scenario, service):
-    """Return the plan of one service and its targets."""
+    """Return the plan of one service."""
     return ServicePlan(
         name=service.name,
         paths=[call_path(scenario, call) for call in service.calls.values()],
@@ -40,7 +41,7 @@
 
 
 def call_path(scenario, call):
-    """Return what a target does for a call."""
+    """Return the specification of a call at the targets that serve it."""
     return CallPath(
         prefix=call.prefix,
         work=ServiceTime(
@@ -54,7 +55,7 @@
 
 
 def outgoing_call(scenario, step):
-    """Return one call that a target makes."""
+    """Return the specification of one outgoing call of a target."""
     call = scenario.call(step)
     return OutgoingCall(
         service=step.service,
@@ -65,10 +66,10 @@
 
 
 def policy_document(scenario, policy):
-    """Return the policy document of a scenario under a policy.
+    """Return the policy document of a scenario.
 
-    The policy's own decisions go before those of the scenario, so that a
-    baseline stays what its name says.
+    The decisions of the named policy take precedence over the scenario's
+    own, so that a baseline is the same in every scenario.
     """
     return {
         "decisions": scenario.decisions | decisions_of(policy),
@@ -79,7 +80,7 @@
 
 
 def declaration(service):
-    """Return what policy declares of a service."""
+    """Return the policy of a service."""
     declared = {
         "calls": {call.name: declared_call(call) for call in service.calls.values()}
     }
@@ -93,7 +94,7 @@
 
 
 def declared_call(call):
-    """Return what policy declares of a call."""
+    """Return the policy of a call."""
     declared = {
         "methods": [call.method],
         "path": call.path,
@@ -110,15 +111,15 @@
 
 
 def load_specs(scenario, entries, seed):
-    """Return what each load offers, by its name.
+    """Return the specification of each load, by its name.
 
     Parameters
     ----------
     scenario : Scenario
     entries : list of str
-        Caller doors.
+        URLs of the daemons' listeners for callers.
     seed : int
-        Every load of every run gets another one of it.
+        Seed of the run; each load gets a seed of its own derived from it.
     """
     return {
         load.name: LoadSpec(
@@ -139,7 +140,7 @@
 
 
 def call_mix(scenario, share):
-    """Return one kind of request of a load."""
+    """Return the specification of one share of a load."""
     call = scenario.call(share)
     return CallMix(
         name=share.name,
@@ -153,46 +154,50 @@
 
 
 def key_of(call):
-    """Return which kind of key requests of a call bring."""
+    """Return the kind of idempotency key that requests of a call have."""
     if not call.once:
         return "none"
     return "minted" if call.once == "token" else "own"
 
 
 def load_phases(scenario, load):
-    """Return a load's rates over time, surges taken in."""
+    """Return a load's rates over time, multiplied by the surges' factors."""
     surges = [
         fault
         for fault in scenario.faults
         if fault.kind == "surge" and fault.subject in ("", load.name)
     ]
-    marks = [
-        mark for surge in surges for mark in (surge.start_seconds, surge.end_seconds)
+    boundaries = [
+        time for surge in surges for time in (surge.start_seconds, surge.end_seconds)
     ]
-    found, begins = [], 0.0
+    result, start = [], 0.0
     for phase in load.phases:
-        for since, until in pairwise(cuts(phase, begins, marks)):
+        for since, until in pairwise(rate_changes(phase, start, boundaries)):
             middle = (since + until) / 2
-            rate = rate_at(phase, middle - begins)
+            rate = rate_at(phase, middle - start)
             for surge in surges:
                 rate *= surge.value if surge.is_active(middle) else 1.0
-            found.append(Phase(seconds=until - since, rate=rate))
-        begins += phase.seconds
-    return found
+            result.append(Phase(seconds=until - since, rate=rate))
+        start += phase.seconds
+    return result
 
 
-def rate_at(phase, passed):
-    """Return the rate of a stretch when some of its seconds are past."""
-    grown = (phase.end_rate - phase.start_rate) * passed / phase.seconds
-    return phase.start_rate + grown
+def rate_at(phase, elapsed_seconds):
+    """Return the rate of a phase at a time after its start."""
+    increase = (phase.end_rate - phase.start_rate) * elapsed_seconds / phase.seconds
+    return phase.start_rate + increase
 
 
-def cuts(phase, begins, marks):
-    """Return where a stretch's rate changes: steps of ramps, and marks."""
-    ends = begins + phase.seconds
+def rate_changes(phase, start, boundaries):
+    """Return the sorted times at which the rate of a phase may change.
+
+    These are its start and end, the steps that approximate a ramp, and the
+    boundaries within the phase. All times are seconds of the load.
+    """
+    end = start + phase.seconds
     steps = 1
     if phase.start_rate != phase.end_rate:
-        steps = max(1, round(phase.seconds / RAMP_STEP))
-    within = {mark for mark in marks if begins < mark < ends}
-    regular = {begins + phase.seconds * step / steps for step in range(steps)}
-    return sorted(within | regular | {ends})
+        steps = max(1, round(phase.seconds / RAMP_STEP_SECONDS))
+    within = {time for time in boundaries if start < time < end}
+    regular = {start + phase.seconds * step / steps for step in range(steps)}
+    return sorted(within | regular | {end})
