--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/measures.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/measures.py
@@ -1,4 +1,4 @@
-"""The measures that a scenario can expect something of."""
+"""Computes the measures that the `expect` lines of a scenario use."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -25,21 +25,26 @@
 from papayabay_bench.targets.records import End
 
 WINDOWS = ("before", "overload", "after", "whole")
-WARM_UP = 1.0
-"""Seconds at a load's begin that count as neither normal nor overloaded:
-connections are opened and service times learned."""
+WARM_UP_SECONDS = 1.0
+"""Time from the start of the load that is in no window but "whole", while
+connections are opened and service times are learned."""
 
 
 @dataclass(slots=True)
 class RunData:
-    """All that was seen of a run.
+    """Everything that was recorded during a run.
 
     Attributes
     ----------
+    requests : list of Request
+    executions : list of Execution
+    effects : list of EffectRecord
+    samples : list of Sample
     segments : list of Segment
-        The bound, moment by moment.
+        The bound of each part of the run.
     windows : dict of str to Window
-        By name; `before`, `overload` and `after` only with a trigger.
+        By name; `before`, `overload` and `after` exist only when the
+        scenario has a trigger.
     """
 
     scenario: object
@@ -55,45 +60,47 @@
         return of_class(due_within(self.requests, window), importance)
 
     def bound(self, window, importance=None):
-        """Return the requests per second that fit in a window."""
+        """Return the achievable requests per second within a window."""
         return achievable_rate(self.segments, window, importance, self.scenario)
 
 
 def of_class(requests, importance):
-    """Return the requests of a class; all without one."""
+    """Return the requests of a class, or all if the class is None."""
     if importance is None:
         return requests
     return [request for request in requests if request.importance == importance]
 
 
 def windows_of(scenario, starts_at):
-    """Return the stretches of a run by name."""
-    ends = starts_at + scenario.seconds
-    found = {"whole": Window(starts_at, ends)}
+    """Return the windows of a run by name."""
+    ends_at = starts_at + scenario.seconds
+    windows = {"whole": Window(starts_at, ends_at)}
     if scenario.trigger:
-        begins, stops = (starts_at + moment for moment in scenario.trigger)
-        warm = min(starts_at + WARM_UP, begins)
-        found["before"] = Window(warm, begins)
-        found["overload"] = Window(begins, stops)
-        found["after"] = Window(stops, ends)
-    return found
+        overload_start, overload_end = (
+            starts_at + seconds for seconds in scenario.trigger
+        )
+        warm_at = min(starts_at + WARM_UP_SECONDS, overload_start)
+        windows["before"] = Window(warm_at, overload_start)
+        windows["overload"] = Window(overload_start, overload_end)
+        windows["after"] = Window(overload_end, ends_at)
+    return windows
 
 
 def goodput_rate(run_data, importance, window):
-    """Return the whole requests per second that ended well in a window."""
+    """Return the requests per second that succeeded within a window."""
     if not window.seconds:
         return None
     return goodput(of_class(run_data.requests, importance), window)
 
 
 def good_share_of(run_data, importance, window):
-    """Return the share of the requests due that ended well."""
+    """Return the share of the requests due in a window that succeeded."""
     due = run_data.of(importance, window)
     return good_share(due) if due else None
 
 
 def recovery(run_data, importance, window):
-    """Return the time back to normal goodput."""
+    """Return the seconds from the overload's end to normal goodput."""
     requests = of_class(run_data.requests, importance)
     before = run_data.windows["before"]
     if not any(request.good for request in due_within(requests, before)):
@@ -102,29 +109,29 @@
 
 
 def wasted(run_data, importance, window):
-    """Return the share of slot time that bought no good answer."""
+    """Return the share of slot time that was spent for no good answer."""
     return wasted_share(run_data.of(importance, window), run_data.executions)
 
 
 def retries(run_data, importance, window):
-    """Return the largest number of the system's retries of one request."""
+    """Return the largest number of retries within the system of a request."""
     return most_retries(run_data.of(importance, window), run_data.executions)
 
 
 def doubled(run_data, importance, window):
-    """Return the number of effects taken more than once."""
+    """Return the number of effects that were performed more than once."""
     return len(doubled_effects(run_data.effects))
 
 
 def lost(run_data, importance, window):
-    """Return the number of confirmed effects that were never taken."""
+    """Return the number of confirmed effects that were never performed."""
     calls = effect_calls(run_data.scenario)
     due = run_data.of(importance, window)
     return len(lost_effects(due, run_data.effects, calls))
 
 
 def effect_calls(scenario):
-    """Return the names of the calls that take an effect."""
+    """Return the names of the calls that perform an effect."""
     return {
         f"{service.name}.{call.name}"
         for service in scenario.services.values()
@@ -134,15 +141,15 @@
 
 
 def denied(run_data, importance, window):
-    """Return the number of effects whose caller was told `not-run`."""
+    """Return the number of performed effects that were answered `not-run`."""
     return len(denied_effects(run_data.of(importance, window), run_data.effects))
 
 
 def refused(run_data, importance, window):
     """Return the number of attempts that were refused within a window.
 
-    The answer's moment decides, not the request's: a request that came
-    just before an overload is refused in the midst of it.
+    The time of the answer counts, not that of the request, since a request
+    that was due just before an overload may be refused during it.
     """
     return sum(
         attempt.outcome == Outcome.REFUSED.value and window.holds(attempt.ended)
@@ -152,7 +159,7 @@
 
 
 def crossed(run_data, importance, window):
-    """Return the number of answers that were another's, or torn."""
+    """Return the number of misdelivered and truncated answers."""
     due = run_data.of(importance, window)
     at_callers = sum(
         attempt.outcome == Outcome.WRONG.value
@@ -166,7 +173,7 @@
 
 
 def unsent(run_data, importance, window):
-    """Return the number of requests that the load tool could not send."""
+    """Return the number of requests that the load generators didn't send."""
     return sum(
         request.outcome == Outcome.UNSENT.value
         for request in run_data.of(importance, window)
@@ -174,13 +181,16 @@
 
 
 def late(run_data, importance, window):
-    """Return the 99th percentile of the load tool's own lateness."""
+    """Return the 99th percentile of the load generators' lateness."""
     due = run_data.of(importance, window)
     return percentile([request.lateness_ms for request in due], 99)
 
 
 def latency(percent):
-    """Return the measure of a percentile of good requests' latency."""
+    """Return a function that computes a latency percentile.
+
+    Only requests that succeeded are counted.
+    """
 
     def compute(run_data, importance, window):
         due = run_data.of(importance, window)
@@ -190,7 +200,7 @@
 
 
 def percentile(milliseconds, percent):
-    """Return a percentile in seconds; None of nothing."""
+    """Return a percentile in seconds, or None if there are no values."""
     if not milliseconds:
         return None
     return percentile_ms(latency_histogram(milliseconds), percent) / 1_000
@@ -198,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measure:
-    """How a measure is computed, and in which stretch by default."""
+    """A function that computes a measure, and its default window."""
 
     compute: Callable
     window: str = "whole"
@@ -224,4 +234,4 @@
     "p50": Measure(latency(50)),
     "p99": Measure(latency(99)),
 }
-"""Every measure by its word in an `expect` line."""
+"""All measures by their names in `expect` lines."""
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/result.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/result.py
@@ -1,4 +1,4 @@
-"""What a run of a scenario found, as it is kept in result files."""
+"""The result of a scenario's run, and its JSON file format."""
 
 import json
 from collections import Counter, defaultdict
@@ -8,27 +8,29 @@
 from papayabay_bench.load.results import Outcome
 from papayabay_bench.scenarios.expectations import Verdict
 
-STEP = 0.25
-"""Seconds that one point of a series stands for."""
+STEP_SECONDS = 0.25
+"""Interval that one point of a series covers."""
 
 
 @dataclass(slots=True)
 class RunResult:
-    """One run of one scenario under one policy with one seed.
+    """Result of one run of a scenario, with one policy and one seed.
 
     Attributes
     ----------
     windows : dict of str to (float, float)
-        Seconds from the load's begin.
+        Start and end of each window, in seconds from the load's start.
     bound_lines : list of str
-        How the bound was computed.
+        Text that shows how the bound was computed.
     measures : dict of str to (float or None)
-        The standard measures.
+        Values of the standard measures, by selector.
     admission : dict of str to dict of str to int
-        What the daemons of each service admitted and refused in the
-        overload, by class, and by class and error kind.
+        Calls that the daemons of each service admitted, by class, and
+        refused, by class and error kind. Counted during the overload, or
+        during the whole run if there is none.
     series : dict of str to dict of str to list of (float, float)
-        Points over time, by kind and name.
+        Time series, by kind, then by class or service. A point is the time
+        from the load's start in seconds, and a value.
     """
 
     scenario: str
@@ -47,7 +49,7 @@
 
     @property
     def holds(self):
-        """Whether every expectation held."""
+        """Whether every expectation was met."""
         return all(verdict.holds for verdict in self.verdicts)
 
 
@@ -57,54 +59,62 @@
 
 
 def read_results(paths):
-    """Return the results of several files.
+    """Read the results from several files.
 
     Raises
     ------
     ValueError
-        When a file holds no results; it is named.
+        When a file is not a result file; names the file.
     """
-    found = []
+    results = []
     for path in paths:
         try:
-            found += [from_values(one) for one in json.loads(Path(path).read_text())]
+            results += [
+                result_from_json(one) for one in json.loads(Path(path).read_text())
+            ]
         except (TypeError, KeyError, AttributeError, ValueError) as error:
-            raise ValueError(f"{path} holds no results: {error}") from None
-    return found
+            raise ValueError(f"{path} is not a result file: {error}") from None
+    return results
 
 
-def from_values(values):
-    """Return the result of plain values."""
+def result_from_json(values):
+    """Return the result of one decoded JSON object."""
     verdicts = [Verdict(**verdict) for verdict in values.pop("verdicts")]
     return RunResult(verdicts=verdicts, **values)
 
 
 def series_of(run_data):
-    """Return a run's points over time."""
-    begins = run_data.windows["whole"].begins
+    """Return the time series of a run."""
+    load_start = run_data.windows["whole"].load_start
     return {
-        "offered": per_class(run_data.requests, begins, "due"),
+        "offered": per_class(run_data.requests, load_start, "due"),
         "goodput": per_class(
-            [request for request in run_data.requests if request.good], begins, "ended"
+            [request for request in run_data.requests if request.good],
+            load_start,
+            "ended",
         ),
-        "refused": refusals(run_data.requests, begins),
-        "queue_ms": by_service(run_data.samples, begins, "queue_ms"),
-        "in_flight": by_service(run_data.samples, begins, "in_flight"),
-        "queued": by_service(run_data.samples, begins, "queued"),
+        "refused": refusals(run_data.requests, load_start),
+        "queue_ms": by_service(run_data.samples, load_start, "queue_ms"),
+        "in_flight": by_service(run_data.samples, load_start, "in_flight"),
+        "queued": by_service(run_data.samples, load_start, "queued"),
     }
 
 
-def per_class(requests, begins, moment):
-    """Return requests per second by class over time."""
+def per_class(requests, load_start, time_attribute):
+    """Return the requests per second by class over time.
+
+    `time_attribute` names the request's attribute that counts as its time.
+    """
     return rates(
-        (request.importance, getattr(request, moment) - begins) for request in requests
+        (request.importance, getattr(request, time_attribute) - load_start)
+        for request in requests
     )
 
 
-def refusals(requests, begins):
-    """Return refused attempts per second by class over time."""
+def refusals(requests, load_start):
+    """Return the refused attempts per second by class over time."""
     return rates(
-        (request.importance, attempt.ended - begins)
+        (request.importance, attempt.ended - load_start)
         for request in requests
         for attempt in request.attempts
         if attempt.outcome == Outcome.REFUSED.value
@@ -112,28 +122,34 @@
 
 
 def rates(events):
-    """Return events per second by name over time."""
-    counted = defaultdict(Counter)
-    for name, moment in events:
-        counted[name][int(moment // STEP)] += 1
+    """Return the events per second by name over time.
+
+    Events are pairs of a name and a time in seconds from the load's start.
+    """
+    counts_by_name = defaultdict(Counter)
+    for name, time in events:
+        counts_by_name[name][int(time // STEP_SECONDS)] += 1
     return {
-        name: [(step * STEP, counts[step] / STEP) for step in range(max(counts) + 1)]
-        for name, counts in sorted(counted.items())
+        name: [
+            (step * STEP_SECONDS, counts[step] / STEP_SECONDS)
+            for step in range(max(counts) + 1)
+        ]
+        for name, counts in sorted(counts_by_name.items())
     }
 
 
-def by_service(samples, begins, attribute):
-    """Return the mean of an attribute over a service's daemons over time."""
-    found = defaultdict(lambda: defaultdict(list))
+def by_service(samples, load_start, attribute):
+    """Return the mean of an attribute by service over time."""
+    values_by_service = defaultdict(lambda: defaultdict(list))
     for sample in samples:
         if sample.service:
-            step = int((sample.time - begins) // STEP)
-            found[sample.service][step].append(getattr(sample, attribute))
+            step = int((sample.time - load_start) // STEP_SECONDS)
+            values_by_service[sample.service][step].append(getattr(sample, attribute))
     return {
         service: [
-            (step * STEP, sum(values) / len(values))
+            (step * STEP_SECONDS, sum(values) / len(values))
             for step, values in sorted(points.items())
             if step >= 0
         ]
-        for service, points in sorted(found.items())
+        for service, points in sorted(values_by_service.items())
     }
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/samples.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/samples.py
@@ -1,4 +1,4 @@
-"""Samples of the daemons' status pages over a run."""
+"""Samples the daemons' status pages during a run."""
 
 import asyncio
 from collections import Counter, defaultdict
@@ -10,20 +10,23 @@
 from papayabay_bench.fleet.fleet import ControlRefused
 from papayabay_core.utils.clock import now
 
-PERIOD = 0.5
-LOST = (aiohttp.ClientError, ControlRefused, OSError, TimeoutError, KeyError)
+SAMPLE_PERIOD_SECONDS = 0.5
+SAMPLE_ERRORS = (aiohttp.ClientError, ControlRefused, OSError, TimeoutError, KeyError)
 
 
 @dataclass(slots=True)
 class Sample:
-    """What one daemon said of its admission at one moment.
+    """The admission state of one daemon at one time.
 
     Attributes
     ----------
+    service : str
+        Service of the daemon's target; empty without one.
     admitted, refused : dict of str to int
-        Counts since its start by class, and by class and error kind.
+        Calls since the daemon's start: admitted by class, and refused by
+        class and error kind.
     processor_s : float
-        Processor time used since its start.
+        Processor time in seconds since the daemon's start.
     """
 
     time: float
@@ -38,7 +41,7 @@
 
 
 class Sampler:
-    """Asks every running daemon for its status again and again.
+    """Polls the status pages of all running daemons.
 
     Parameters
     ----------
@@ -53,16 +56,16 @@
         """Sample until cancelled."""
         while True:
             await asyncio.gather(*map(self.sample, list(self.fleet.daemons)))
-            await asyncio.sleep(PERIOD)
+            await asyncio.sleep(SAMPLE_PERIOD_SECONDS)
 
     async def sample(self, name):
-        """Take one sample; a daemon that is gone or paused gives none."""
+        """Take one sample of a daemon, if it runs and answers in time."""
         if not self.fleet.daemons[name].running:
             return
         try:
-            async with asyncio.timeout(PERIOD):
+            async with asyncio.timeout(SAMPLE_PERIOD_SECONDS):
                 page = await self.fleet.status(name)
-        except LOST:
+        except SAMPLE_ERRORS:
             return
         self.samples.append(read_sample(name, page))
 
@@ -84,8 +87,8 @@
     )
 
 
-def grown(before, after, prefix):
-    """Return by how much the counts of a class grew."""
+def increase(before, after, prefix):
+    """Return the increase of the counters whose names start with a prefix."""
     return sum(
         count - before.get(name, 0)
         for name, count in after.items()
@@ -94,41 +97,44 @@
 
 
 def consecutive(samples):
-    """Yield pairs of samples of the same daemon that follow each other."""
+    """Yield all pairs of consecutive samples of the same daemon."""
     ordered = sorted(samples, key=lambda sample: (sample.daemon, sample.time))
-    for _, own in groupby(ordered, key=lambda sample: sample.daemon):
-        yield from pairwise(own)
+    for _, group in groupby(ordered, key=lambda sample: sample.daemon):
+        yield from pairwise(group)
 
 
 def admission_counts(samples, window):
-    """Return what daemons admitted and refused in a window, by service.
+    """Count the calls that were admitted and refused during a window.
 
     Returns
     -------
     dict of str to dict of str to int
-        Counts by class, and by class and error kind for refusals.
+        Counts by service, then by class for admitted calls, and by class and
+        error kind for refused ones.
     """
-    counted = defaultdict(Counter)
+    counts_by_service = defaultdict(Counter)
     for before, after in consecutive(samples):
         if not (after.service and window.holds(before.time)):
             continue
         for name, count in (after.admitted | after.refused).items():
-            known = (before.admitted | before.refused).get(name, 0)
-            counted[after.service][name] += max(0, count - known)
-    return {service: dict(counts) for service, counts in sorted(counted.items())}
+            previous = (before.admitted | before.refused).get(name, 0)
+            counts_by_service[after.service][name] += max(0, count - previous)
+    return {
+        service: dict(counts) for service, counts in sorted(counts_by_service.items())
+    }
 
 
 def inversions(samples, window):
-    """Return how often a daemon preferred sheddable to critical calls.
+    """Count how often daemons preferred sheddable to critical calls.
 
-    That is the number of pairs of consecutive samples within the window
-    between which one daemon refused a critical call as overloaded, and
-    admitted a sheddable one.
+    Counts the pairs of consecutive samples of a daemon within the window
+    between which it refused a critical call as overloaded and admitted a
+    sheddable one.
     """
     return sum(
         window.holds(before.time)
         and window.holds(after.time)
-        and grown(before.refused, after.refused, "critical/overloaded") > 0
-        and grown(before.admitted, after.admitted, "sheddable") > 0
+        and increase(before.refused, after.refused, "critical/overloaded") > 0
+        and increase(before.admitted, after.admitted, "sheddable") > 0
         for before, after in consecutive(samples)
     )
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/tables.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/tables.py
@@ -1,4 +1,4 @@
-"""Prints runs: their bounds, verdicts and a table side by side."""
+"""Formats the results of runs as text and as a table of policies."""
 
 from statistics import median
 
@@ -25,13 +25,15 @@
     ("late whole", "load tool late p99, s", "{:.4f}"),
     ("unsent whole", "unsent", "{:.0f}"),
 )
+"""Measure, label and number format of each row of the table."""
 NEVER = "never"
+"""Shown for a measure without a value, such as the time to recover."""
 LABEL_WIDTH = 26
 COLUMN_WIDTH = 20
 
 
 def run_lines(result):
-    """Yield the lines that tell of one run."""
+    """Yield the text lines of the result of one run."""
     yield f"{result.scenario} — policy {result.policy}, seed {result.seed}"
     yield f"  scale: {result.scale}"
     yield from (f"  {line}" for line in result.bound_lines)
@@ -48,7 +50,10 @@
 
 
 def table_lines(results):
-    """Yield a table of policies: median and spread over the seeds."""
+    """Yield the lines of a table with a column for each policy.
+
+    Cells show the median over the seeds, with minimum and maximum.
+    """
     policies = list(dict.fromkeys(result.policy for result in results))
     yield "".ljust(LABEL_WIDTH) + "".join(
         policy.rjust(COLUMN_WIDTH) for policy in policies
@@ -61,17 +66,23 @@
 
 
 def cell(results, policy, name, form):
-    """Return a measure's median over seeds, with the least and the most."""
+    """Return a cell: a measure's median, minimum and maximum over seeds.
+
+    Runs without a value count as infinite.
+    """
     values = [
         result.measures.get(name) for result in results if result.policy == policy
     ]
     numbers = sorted(float("inf") if value is None else value for value in values)
     middle = median(numbers)
     if len(numbers) == 1:
-        return show(middle, form)
-    return f"{show(middle, form)} [{show(numbers[0], form)}…{show(numbers[-1], form)}]"
+        return format_value(middle, form)
+    return (
+        f"{format_value(middle, form)} "
+        f"[{format_value(numbers[0], form)}…{format_value(numbers[-1], form)}]"
+    )
 
 
-def show(value, form):
-    """Return a value in its form; what never came has none."""
+def format_value(value, form):
+    """Return a value as text; infinite values as `NEVER`."""
     return NEVER if value == float("inf") else form.format(value)
--- a/tests/unit/bench/test_scenario_bound.py
+++ b/tests/unit/bench/test_scenario_bound.py
@@ -5,7 +5,7 @@
 from papayabay_bench.load.results import Attempt, Request
 from papayabay_bench.measures.windows import Window
 from papayabay_bench.scenarios.bound import achievable_rate, segments
-from papayabay_bench.scenarios.expectations import judge
+from papayabay_bench.scenarios.expectations import evaluate
 from papayabay_bench.scenarios.measures import RunData, windows_of
 from papayabay_bench.scenarios.parser import parse_scenario
 from papayabay_bench.scenarios.samples import Sample, admission_counts, inversions
@@ -99,7 +99,7 @@
     def verdicts(self, good):
         """Return which expectations hold."""
         run_data = run_data_of(self.scenario, requests(good))
-        return [judge(run_data, one) for one in self.scenario.expectations]
+        return [evaluate(run_data, one) for one in self.scenario.expectations]
 
     def test_all_hold(self):
         self.assertTrue(all(one.holds for one in self.verdicts(lambda *_: True)))
@@ -126,7 +126,9 @@
         made = requests()
         made[0].attempts[0].outcome = "refused"
         made[0].attempts[0].ended = 11.0
-        verdict = judge(run_data_of(self.scenario, made), self.scenario.expectations[2])
+        verdict = evaluate(
+            run_data_of(self.scenario, made), self.scenario.expectations[2]
+        )
         self.assertTrue(verdict.holds)
 
 
