--- a/tests/unit/bench/test_history_command.py
+++ b/tests/unit/bench/test_history_command.py
@@ -1,3 +1,5 @@
+"""Tests of the `check` command and of the summary of its results."""
+
 import contextlib
 import io
 import tempfile
@@ -10,8 +12,8 @@
 from papayabay_bench.history.summary import summary_lines
 
 
-def effect(attempt, at):
-    return Effect("t-0", "orders", attempt, "k", "/orders/1", at)
+def effect(attempt, time):
+    return Effect("t-0", "orders", attempt, "k", "/orders/1", time)
 
 
 class CheckCommandTest(unittest.TestCase):
@@ -25,22 +27,22 @@
             code = load_command("check")(**options)
         return code, out.getvalue(), err.getvalue()
 
-    def test_a_violation_is_1_with_seed_and_trace(self):
+    def test_violation_exits_with_1_and_prints_seed_and_trace(self):
         write_history(History(8, [effect("a", 1.0), effect("b", 2.0)]), self.path)
         code, out, _ = self.run_check(history=str(self.path))
         self.assertEqual(code, 1)
         self.assertIn("seed 8: at-most-once: k: 2 effects", out)
         self.assertEqual(out.count('"record": "Effect"'), 2)
 
-    def test_a_history_that_keeps_every_rule_is_0(self):
+    def test_valid_history_exits_with_0(self):
         write_history(History(8, [effect("a", 1.0)]), self.path)
         code, out, _ = self.run_check(history=str(self.path))
         self.assertEqual(code, 0)
         self.assertIn("1 effects", out)
 
-    def test_wrong_options_are_2_and_run_nothing(self):
+    def test_invalid_options_exit_with_2_and_run_nothing(self):
         self.path.write_text("no history\n")
-        for options, told in (
+        for options, message in (
             ({"faults": "flood"}, "unknown fault flood"),
             ({"seeds": "9..3"}, "A..B"),
             ({"history": str(self.path)}, ":1: not a record"),
@@ -49,13 +51,13 @@
             with self.subTest(options=options):
                 code, out, err = self.run_check(**options)
                 self.assertEqual((code, out), (2, ""))
-                self.assertIn(told, err)
+                self.assertIn(message, err)
 
 
 class SummaryTest(unittest.TestCase):
-    def test_sums_of_all_seeds_and_the_seeds_that_failed(self):
+    def test_summary_has_sums_and_failed_seeds(self):
         broken = evaluate(History(8, [effect("a", 1.0), effect("b", 2.0)]))
-        lost = failed_fleet_result(9, ExceptionGroup("g", [TimeoutError("not whole")]))
+        lost = failed_fleet_result(9, ExceptionGroup("g", [TimeoutError("no quorum")]))
         lines = list(summary_lines([broken, SeedResult(7, calls=5), lost]))
         self.assertIn("calls: 5", lines)
         self.assertIn("effects: 2", lines)
--- a/tests/unit/bench/test_history_schedule.py
+++ b/tests/unit/bench/test_history_schedule.py
@@ -1,3 +1,5 @@
+"""Tests of the schedules that are drawn from seeds."""
+
 import unittest
 
 from papayabay_bench.history.schedule import (
@@ -13,32 +15,34 @@
 class ScheduleTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.drawn = [draw_schedule(seed) for seed in SEEDS]
+        cls.schedules = [draw_schedule(seed) for seed in SEEDS]
 
-    def test_a_seed_gives_the_same_schedule_again(self):
-        self.assertEqual([draw_schedule(seed) for seed in SEEDS[:5]], self.drawn[:5])
+    def test_schedule_of_a_seed_is_reproducible(self):
+        self.assertEqual(
+            [draw_schedule(seed) for seed in SEEDS[:5]], self.schedules[:5]
+        )
 
-    def test_seeds_differ_and_two_faults_come_at_once(self):
-        self.assertGreater(len(set(self.drawn)), len(SEEDS) * 3 // 4)
-        pairs = [s.faults for s in self.drawn if len(s.faults) > 1]
+    def test_schedules_differ_and_faults_can_overlap(self):
+        self.assertGreater(len(set(self.schedules)), len(SEEDS) * 3 // 4)
+        multiple = [s.faults for s in self.schedules if len(s.faults) > 1]
         self.assertTrue(
             any(
                 two[1].start_seconds < two[0].start_seconds + two[0].duration_seconds
-                for two in pairs
+                for two in multiple
             )
         )
 
-    def test_faults_of_one_subject_never_overlap(self):
-        for schedule in self.drawn:
+    def test_each_subject_has_at_most_one_fault(self):
+        for schedule in self.schedules:
             subjects = [fault.subject for fault in schedule.faults]
             self.assertEqual(len(subjects), len(set(subjects)))
 
-    def test_only_listed_kinds_are_drawn(self):
+    def test_only_requested_kinds_are_drawn(self):
         for seed in SEEDS:
             kinds = {fault.kind for fault in draw_schedule(seed, ("kill",)).faults}
             self.assertEqual(kinds, {"kill"})
 
-    def test_unknown_kinds_are_refused_by_name(self):
+    def test_error_names_the_unknown_kind(self):
         self.assertEqual(validate_kinds([]), tuple(SUBJECTS))
         with self.assertRaisesRegex(UnknownFault, "flood; known faults: store-down"):
             validate_kinds(["kill", "flood"])
