--- a/tests/unit/bench/test_scenario_bound.py
+++ b/tests/unit/bench/test_scenario_bound.py
@@ -1,4 +1,4 @@
-"""The bound of the bottleneck, and the verdicts on what was measured."""
+"""Tests of the goodput bound, the verdicts and the admission samples."""
 
 import unittest
 
@@ -38,8 +38,8 @@
 CLASSES = {"front.buy": "critical"}
 
 
-def requests(good=lambda name, due: True):
-    """Return 30 s of evenly spaced requests."""
+def make_requests(is_good=lambda name, due: True):
+    """Return 30 s of evenly spaced requests of each call."""
     return [
         Request(
             request=f"{name}/{number}",
@@ -47,12 +47,12 @@
             importance=CLASSES.get(name, "sheddable"),
             key="",
             due=number / rate,
-            outcome="good" if good(name, number / rate) else "refused",
+            outcome="good" if is_good(name, number / rate) else "refused",
             attempts=[
                 Attempt(
                     sent=number / rate,
                     ended=number / rate,
-                    outcome="good" if good(name, number / rate) else "refused",
+                    outcome="good" if is_good(name, number / rate) else "refused",
                 )
             ],
         )
@@ -61,34 +61,34 @@
     ]
 
 
-def run_data_of(scenario, made):
-    """Return evidence of requests alone."""
+def run_data_of(scenario, requests):
+    """Return the data of a run with nothing but requests."""
     windows = windows_of(scenario, 0.0)
-    found = segments(scenario, made, windows["whole"])
-    return RunData(scenario, made, [], [], [], found, windows)
+    run_segments = segments(scenario, requests, windows["whole"])
+    return RunData(scenario, requests, [], [], [], run_segments, windows)
 
 
 class BoundTest(unittest.TestCase):
     def setUp(self):
         self.scenario = parse_scenario(TEXT)
-        self.segments = segments(self.scenario, requests(), Window(0.0, 30.0))
+        self.segments = segments(self.scenario, make_requests(), Window(0.0, 30.0))
 
     def rate(self, importance, begins, ends):
-        """Return what fits of a class."""
+        """Return the achievable rate of a class between two times."""
         window = Window(begins, ends)
         return achievable_rate(self.segments, window, importance, self.scenario)
 
-    def test_healthy_fleet_is_bound_by_the_deep_service(self):
-        """2 slots ÷ 40 ms fit 50/s: 20 critical ones, and 30 of 60 looks."""
+    def test_bottleneck_bounds_a_healthy_fleet(self):
+        """2 slots ÷ 40 ms = 50/s: for 20 `buy` and 30 of 60 `look`."""
         self.assertAlmostEqual(self.rate("critical", 0, 10), 20.0)
         self.assertAlmostEqual(self.rate("sheddable", 0, 10), 50.0)
 
-    def test_faults_take_capacity_away_in_order_of_class(self):
-        """1 slot ÷ 80 ms fits 12.5/s: no look is left, only what is free."""
+    def test_less_capacity_affects_the_least_important_class_first(self):
+        """1 slot ÷ 80 ms = 12.5/s: all for `buy`, so only `free` is left."""
         self.assertAlmostEqual(self.rate("critical", 10, 20), 12.5)
         self.assertAlmostEqual(self.rate("sheddable", 10, 20), 20.0)
 
-    def test_window_over_two_pieces_weighs_them_by_time(self):
+    def test_rate_over_two_segments_is_weighted_by_time(self):
         self.assertAlmostEqual(self.rate("critical", 5, 15), (20.0 + 12.5) / 2)
 
 
@@ -96,15 +96,15 @@
     def setUp(self):
         self.scenario = parse_scenario(TEXT)
 
-    def verdicts(self, good):
-        """Return which expectations hold."""
-        run_data = run_data_of(self.scenario, requests(good))
+    def verdicts(self, is_good):
+        """Return the verdicts on all expectations."""
+        run_data = run_data_of(self.scenario, make_requests(is_good))
         return [evaluate(run_data, one) for one in self.scenario.expectations]
 
-    def test_all_hold(self):
+    def test_all_expectations_are_met(self):
         self.assertTrue(all(one.holds for one in self.verdicts(lambda *_: True)))
 
-    def test_lost_critical_requests_fail(self):
+    def test_failed_critical_requests_are_found(self):
         verdicts = self.verdicts(
             lambda name, due: name != "front.buy" or not 10 <= due < 11
         )
@@ -112,29 +112,29 @@
         self.assertAlmostEqual(verdicts[0].measured, 0.9)
         self.assertIn("expect good critical", verdicts[0].text)
 
-    def test_refusal_before_the_trigger_fails(self):
+    def test_refusal_before_the_overload_is_found(self):
         verdicts = self.verdicts(lambda name, due: due != 5)
         self.assertEqual([one.holds for one in verdicts], [True, True, False])
 
-    def test_refusal_in_the_overload_of_an_earlier_request(self):
-        """Symptom: refusals before a trigger that nobody had refused.
+    def test_refusal_counts_at_the_time_of_the_answer(self):
+        """Refusals during the overload don't count as refusals before it.
 
-        Requests due just before the trigger were repeated into the overload
-        and refused there; counting attempts by their request's time due put
-        them before it.
+        Requests that were due just before the overload were retried and
+        refused during it. When attempts were counted by the due time of
+        their request, these refusals appeared before the overload.
         """
-        made = requests()
-        made[0].attempts[0].outcome = "refused"
-        made[0].attempts[0].ended = 11.0
+        requests = make_requests()
+        requests[0].attempts[0].outcome = "refused"
+        requests[0].attempts[0].ended = 11.0
         verdict = evaluate(
-            run_data_of(self.scenario, made), self.scenario.expectations[2]
+            run_data_of(self.scenario, requests), self.scenario.expectations[2]
         )
         self.assertTrue(verdict.holds)
 
 
-class InversionTest(unittest.TestCase):
+class SampleTest(unittest.TestCase):
     def samples(self, refused, admitted):
-        """Return two samples of one daemon, the counts grown between."""
+        """Return two samples of one daemon with increased counters."""
         common = dict.fromkeys(("in_flight", "queued", "queue_ms", "processor_s"), 0)
         return [
             Sample(time=0.5, daemon="a", service="a", **common),
@@ -145,19 +145,19 @@
         """Return the inversions within the first two seconds."""
         return inversions(self.samples(refused, admitted), Window(0.0, 2.0))
 
-    def test_counts_of_a_service_can_be_kept(self):
-        """Symptom: results could not be written as JSON, after the run.
+    def test_admission_counts_can_be_written_as_json(self):
+        """Counts by service are plain dicts, not `Counter` objects.
 
-        A result with a `Counter` in it went through `asdict`, which makes
-        a new one from pairs and so counts the pairs themselves; their
-        tuples are no keys of JSON.
+        `asdict` rebuilds a `Counter` from its items and so counts the pairs
+        themselves. Their tuples can't be JSON keys, so that writing the
+        results failed at the end of a run.
         """
         samples = self.samples({"critical/overloaded": 1}, {"normal": 3})
         counted = admission_counts(samples, Window(0.0, 2.0))
         self.assertEqual(counted, {"a": {"critical/overloaded": 1, "normal": 3}})
         self.assertIs(type(counted["a"]), dict)
 
-    def test_only_both_together_count(self):
+    def test_inversion_needs_a_refusal_and_an_admission(self):
         refused = {"critical/overloaded": 1}
         self.assertEqual(self.count(refused, {"sheddable": 2}), 1)
         self.assertEqual(self.count(refused, {"critical": 2}), 0)
--- a/tests/unit/bench/test_scenario_parser.py
+++ b/tests/unit/bench/test_scenario_parser.py
@@ -1,4 +1,4 @@
-"""The scenario language: what it reads, and how it tells faults."""
+"""Tests of the scenario language: parsing, conversion and errors."""
 
 import unittest
 from pathlib import Path
@@ -29,8 +29,8 @@
 """
 
 
-def fault_of(text):
-    """Return the error of a faulty text as it is printed."""
+def error_of(text):
+    """Return the error message of an invalid text, or ""."""
     try:
         parse_scenario(text, "f")
     except ScenarioError as error:
@@ -38,8 +38,8 @@
     return ""
 
 
-class ReadingTest(unittest.TestCase):
-    def test_plan(self):
+class ValidScenarioTest(unittest.TestCase):
+    def test_fleet_plan(self):
         plan = fleet_plan(parse_scenario(HEAD), 7)
         front, back = plan.services
         self.assertEqual((front.upstreams, front.slots, plan.seed), (3, 4, 7))
@@ -47,7 +47,7 @@
         self.assertEqual(front.paths[0].calls[0].path, "/book/1")
         self.assertEqual(back.paths[0].work.distribution, "fixed")
 
-    def test_policy(self):
+    def test_policy_document(self):
         document = policy_document(parse_scenario(HEAD), "static")
         order = document["services"]["front"]["calls"]["order"]
         self.assertEqual(order["at_most_once"], "token")
@@ -55,7 +55,7 @@
         back = document["services"]["back"]
         self.assertEqual(back["admission"], {"queue_target_ms": 15})
 
-    def test_surge_cuts_the_rates(self):
+    def test_surge_multiplies_rates_while_active(self):
         scenario = parse_scenario(HEAD + "at 500 ms for 1 s surge by 3\n")
         phases = load_specs(scenario, ["http://x"], 1)["all"].phases
         self.assertEqual(
@@ -64,7 +64,7 @@
         )
         self.assertAlmostEqual(sum(phase.seconds for phase in phases), 3.0)
 
-    def test_every_scenario_at_hand_reads(self):
+    def test_every_scenario_file_is_valid(self):
         paths = sorted(SCENARIOS.glob("*.scenario"))
         self.assertTrue(paths)
         for path in paths:
@@ -72,31 +72,31 @@
                 self.assertTrue(load_scenario(path).expectations)
 
 
-class FaultTest(unittest.TestCase):
-    def test_strange_word(self):
-        self.assertIn("f:18:1: bogus is not allowed here", fault_of(HEAD + "bogus\n"))
+class InvalidScenarioTest(unittest.TestCase):
+    def test_word_not_allowed_here(self):
+        self.assertIn("f:18:1: bogus is not allowed here", error_of(HEAD + "bogus\n"))
 
-    def test_unfinished(self):
-        self.assertIn("Unexpected end of file", fault_of("service front {"))
+    def test_unexpected_end(self):
+        self.assertIn("Unexpected end of file", error_of("service front {"))
 
     def test_unknown_names(self):
         line = "at 1 s for 1 s slow middle by 2\n"
-        self.assertIn("f:18:1: There is no middle", fault_of(HEAD + line))
+        self.assertIn("f:18:1: There is no middle", error_of(HEAD + line))
         text = HEAD.replace("then back.book", "then back.cook")
-        self.assertIn("f:5:", fault_of(text))
-        self.assertIn("no call cook", fault_of(text))
+        self.assertIn("f:5:", error_of(text))
+        self.assertIn("no call cook", error_of(text))
 
-    def test_shares_that_do_not_sum_up(self):
-        self.assertIn("sum to 90.0%", fault_of(HEAD.replace("100 %", "90 %")))
+    def test_shares_that_do_not_sum_to_1(self):
+        self.assertIn("sum to 90.0%", error_of(HEAD.replace("100 %", "90 %")))
 
-    def test_endless_graph(self):
+    def test_cyclic_call_graph(self):
         text = HEAD.replace("20 ms fixed", "20 ms fixed then front.order")
-        self.assertIn("Call order calls itself", fault_of(text))
+        self.assertIn("Call order calls itself", error_of(text))
 
-    def test_two_switches_at_a_time(self):
+    def test_overlapping_faults_of_one_subject(self):
         line = "at 1 s for 1 s slow back by 2\n"
-        self.assertIn("still active", fault_of(HEAD + line + line))
+        self.assertIn("still active", error_of(HEAD + line + line))
 
-    def test_unknown_measure(self):
-        self.assertIn("Unknown measure speed", fault_of(HEAD + "expect speed >= 1\n"))
-        self.assertIn("no window overload", fault_of(HEAD + "expect wasted = 0\n"))
+    def test_unknown_measure_and_window(self):
+        self.assertIn("Unknown measure speed", error_of(HEAD + "expect speed >= 1\n"))
+        self.assertIn("no window overload", error_of(HEAD + "expect wasted = 0\n"))
