--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/answers.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/answers.py
@@ -9,15 +9,17 @@
 
 def violations(history, limits):
     """Yield the truncated and misdelivered answers of clients and targets."""
-    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    invocations = {one.attempt: one for one in history.of_type(Invocation)}
     for answer in history.of_type(Answered):
         if answer.outcome == Outcome.WRONG.value:
-            records = [one for one in (sent.get(answer.attempt), answer) if one]
+            records = [one for one in (invocations.get(answer.attempt), answer) if one]
             reason = "got an answer that belongs to another call or is truncated"
             yield Violation(RULE, answer.attempt, reason, ordered_trace(records))
     for arrival in history.of_type(Arrival):
         if arrival.end == CROSSED:
             reason = f"{arrival.target} got an answer to an outgoing call that "
             reason += "belongs to another call or is truncated"
-            records = [one for one in (sent.get(arrival.attempt), arrival) if one]
+            records = [
+                one for one in (invocations.get(arrival.attempt), arrival) if one
+            ]
             yield Violation(RULE, arrival.attempt, reason, ordered_trace(records))
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/asked.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/asked.py
@@ -8,9 +8,9 @@
 
 def violations(history, limits):
     """Yield the arrivals that don't match a request of a client."""
-    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    invocations = {one.attempt: one for one in history.of_type(Invocation)}
     for arrival in history.of_type(Arrival):
-        invocation = sent.get(arrival.attempt)
+        invocation = invocations.get(arrival.attempt)
         reason = mismatch(invocation, arrival)
         if reason:
             records = [arrival] if invocation is None else [invocation, arrival]
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/at_most_once.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/at_most_once.py
@@ -25,5 +25,7 @@
 def trace_of(history, effects):
     """Return the effects and the attempts that caused them."""
     attempts = {effect.attempt for effect in effects}
-    sent = [one for one in history.of_type(Invocation) if one.attempt in attempts]
-    return ordered_trace(sent + effects)
+    invocations = [
+        one for one in history.of_type(Invocation) if one.attempt in attempts
+    ]
+    return ordered_trace(invocations + effects)
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/class_order.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/class_order.py
@@ -19,16 +19,18 @@
 
 def violations(history, limits):
     """Yield daemons that admitted calls in the wrong order of classes."""
-    samples = sorted(history.of_type(Sample), key=process_of)
-    for (daemon, _), group in groupby(samples, key=process_of):
-        own = sorted(group, key=lambda sample: sample.time)
-        for trace in zip(own, own[1:], own[2:], strict=False):
+    samples = sorted(history.of_type(Sample), key=process_key)
+    for (daemon, _), group in groupby(samples, key=process_key):
+        process_samples = sorted(group, key=lambda sample: sample.time)
+        for trace in zip(
+            process_samples, process_samples[1:], process_samples[2:], strict=False
+        ):
             if is_inverted(*trace, limits.overload_hold_seconds):
                 reason = "admitted a sheddable call soon after refusing a critical one"
                 yield Violation(RULE, daemon, reason, list(trace))
 
 
-def process_of(sample):
+def process_key(sample):
     """Return a key that identifies the daemon process of a sample."""
     return sample.daemon, sample.life
 
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/denied.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/denied.py
@@ -13,12 +13,12 @@
 
 def violations(history, limits):
     """Yield the attempts that a daemon rejected."""
-    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    invocations = {one.attempt: one for one in history.of_type(Invocation)}
     for answer in history.of_type(Answered):
-        if answer.attempt not in sent or not is_denial(answer):
+        if answer.attempt not in invocations or not is_denial(answer):
             continue
         reason = f"rejected with status {answer.status} ({answer.kind}), but valid"
-        trace = ordered_trace([sent[answer.attempt], answer])
+        trace = ordered_trace([invocations[answer.attempt], answer])
         yield Violation(RULE, answer.attempt, reason, trace)
 
 
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/draining.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/draining.py
@@ -19,15 +19,17 @@
 def violations(history, limits):
     """Yield the requests that were interrupted while a daemon drained."""
     drains = fault_intervals(history, "drain")
-    hard = fault_intervals(history, *HARD_FAULTS)
-    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    hard_faults = fault_intervals(history, *HARD_FAULTS)
+    invocations = {one.attempt: one for one in history.of_type(Invocation)}
     for answer in history.of_type(Answered):
-        invocation = sent.get(answer.attempt)
+        invocation = invocations.get(answer.attempt)
         if invocation is None or not is_interrupted(answer):
             continue
         drain = find_drain(drains, invocation, answer)
         start = invocation.time - HARD_FAULT_SECONDS
-        if drain is None or any(one.overlaps(start, answer.time) for one in hard):
+        if drain is None or any(
+            one.overlaps(start, answer.time) for one in hard_faults
+        ):
             continue
         trace = ordered_trace([drain.records[0], invocation, answer])
         reason = (
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/gone.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/gone.py
@@ -17,11 +17,13 @@
     A client disconnects when its attempt times out.
     """
     pauses = fault_intervals(history, "pause")
-    sent = {one.attempt: one for one in history.of_type(Invocation) if not one.key}
+    invocations = {
+        one.attempt: one for one in history.of_type(Invocation) if not one.key
+    }
     timed_out = {
         one.attempt: one
         for one in history.of_type(Answered)
-        if one.outcome == Outcome.TIMED_OUT.value and one.attempt in sent
+        if one.outcome == Outcome.TIMED_OUT.value and one.attempt in invocations
     }
     for arrival in history.of_type(Arrival):
         answer = timed_out.get(arrival.attempt)
@@ -32,5 +34,5 @@
             continue
         seconds = arrival.began - answer.time
         reason = f"reached {arrival.target} {seconds:.2f} s after its client timed out"
-        trace = ordered_trace([sent[arrival.attempt], answer, arrival])
+        trace = ordered_trace([invocations[arrival.attempt], answer, arrival])
         yield Violation(RULE, arrival.attempt, reason, trace)
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/lifetimes.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/lifetimes.py
@@ -14,10 +14,10 @@
 def violations(history, limits):
     """Yield the calls that reached a target after their request expired."""
     pauses = fault_intervals(history, "pause")
-    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    invocations = {one.attempt: one for one in history.of_type(Invocation)}
     longest = limits.lifetime_seconds + limits.lifetime_slack_seconds
     for arrival in history.of_type(Arrival):
-        invocation = sent.get(arrival.attempt)
+        invocation = invocations.get(arrival.attempt)
         if invocation is None or arrival.began <= invocation.time + longest:
             continue
         at_entry = (one for one in pauses if one.subject == invocation.entry)
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/not_run.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/not_run.py
@@ -22,11 +22,13 @@
     for record in history.of_type(Arrival, Effect):
         if not (isinstance(record, Arrival) and record.end in NOTHING_DONE):
             work[record.attempt].append(record)
-    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    invocations = {one.attempt: one for one in history.of_type(Invocation)}
     for answer in history.of_type(Answered):
         done = work.get(answer.attempt)
         if answer.effect == NOT_RUN and done:
-            records = [sent[answer.attempt]] if answer.attempt in sent else []
+            records = (
+                [invocations[answer.attempt]] if answer.attempt in invocations else []
+            )
             records += [answer, *done]
             reason = f"answered not-run ({answer.kind}), but {done[0].target} ran it"
             yield Violation(RULE, answer.attempt, reason, ordered_trace(records))
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/retries.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/retries.py
@@ -19,12 +19,12 @@
     arrivals = defaultdict(lambda: defaultdict(list))
     for arrival in history.of_type(Arrival):
         arrivals[arrival.attempt][arrival.nonce].append(arrival)
-    sent = {one.attempt: one for one in history.of_type(Invocation)}
+    invocations = {one.attempt: one for one in history.of_type(Invocation)}
     for attempt, by_nonce in arrivals.items():
         retries = [one for group in by_nonce.values() for one in group[1:]]
         if len(retries) > limits.retries:
             repeated = [group for group in by_nonce.values() if len(group) > 1]
             records = [one for group in repeated for one in group]
-            records += [sent[attempt]] if attempt in sent else []
+            records += [invocations[attempt]] if attempt in invocations else []
             reason = f"{len(retries)} retries, at most {limits.retries} allowed"
             yield Violation(RULE, attempt, reason, ordered_trace(records))
--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/versions.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/versions.py
@@ -4,7 +4,7 @@
 
 from papayabay_bench.history.intervals import fault_intervals
 from papayabay_bench.history.records import PatchOutcome, Sample
-from papayabay_bench.history.rules.class_order import process_of
+from papayabay_bench.history.rules.class_order import process_key
 from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "versions"
@@ -14,11 +14,13 @@
 
 def violations(history, limits):
     """Yield daemons whose version decreased or was not updated in time."""
-    samples = sorted(history.of_type(Sample), key=process_of)
-    for (daemon, _), group in groupby(samples, key=process_of):
-        own = sorted(group, key=lambda sample: sample.time)
-        yield from version_decreases(daemon, own)
-        yield from late_versions(history, daemon, own, limits.propagation_seconds)
+    samples = sorted(history.of_type(Sample), key=process_key)
+    for (daemon, _), group in groupby(samples, key=process_key):
+        process_samples = sorted(group, key=lambda sample: sample.time)
+        yield from version_decreases(daemon, process_samples)
+        yield from late_versions(
+            history, daemon, process_samples, limits.propagation_seconds
+        )
 
 
 def version_decreases(daemon, samples):
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/bound.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/bound.py
@@ -49,14 +49,14 @@
     achievable: dict[str, float] = field(default_factory=dict)
 
 
-def segments(scenario, requests, whole):
+def segments(scenario, requests, load_window):
     """Return the segments of a run.
 
     Parameters
     ----------
     scenario : Scenario
     requests : list of Request
-    whole : Window
+    load_window : Window
         Time from the start to the end of the load.
     """
     boundaries = {0.0, scenario.seconds}
@@ -69,18 +69,18 @@
         boundaries |= set(scenario.trigger)
     within_run = sorted(time for time in boundaries if 0.0 <= time <= scenario.seconds)
     return [
-        make_segment(scenario, requests, whole, start, end)
+        make_segment(scenario, requests, load_window, start, end)
         for start, end in pairwise(within_run)
         if end - start > EPSILON
     ]
 
 
-def make_segment(scenario, requests, whole, start, end):
+def make_segment(scenario, requests, load_window, start, end):
     """Return the segment between two times in seconds of the load."""
     middle = (start + end) / 2
     faults = [fault for fault in scenario.faults if fault.is_active(middle)]
     plan = fleet_plan(scenario, 0)
-    window = Window(whole.begins + start, whole.begins + end)
+    window = Window(load_window.begins + start, load_window.begins + end)
     segment = Segment(
         window=window,
         offered=offered_rates(requests, window),
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/measures.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/measures.py
@@ -141,7 +141,10 @@
 
 
 def denied(run_data, importance, window):
-    """Return the number of performed effects that were answered `not-run`."""
+    """Return the number of effects with only `not-run` answers.
+
+    These effects were performed, contrary to the answers.
+    """
     return len(denied_effects(run_data.of(importance, window), run_data.effects))
 
 
