--- a/packages/papayabay-bench/src/papayabay_bench/history/jobs.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/jobs.py
@@ -73,7 +73,7 @@
 
 
 async def run_on_fleet(remaining, results, kinds, keep_directory):
-    """Run seeds on one fleet until all are done or it did not recover.
+    """Run seeds on one fleet until all are done or it fails to recover.
 
     Each seed is removed from `remaining` when it starts; its result is
     appended to `results`.
