--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/fifo.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/admission/fifo.py
@@ -1,4 +1,4 @@
-"""What the class-blind schemes have in common."""
+"""Base class of the schemes that ignore importance classes."""
 
 from papayabay_core.importance import ADMIT_ALL
 from papayabay_daemon._internal.admission.queues import FifoQueue
@@ -7,54 +7,57 @@
 
 
 class FifoScheme:
-    """First come, first served, with a bounded line and no threshold."""
+    """First in, first out, with a bounded queue and no threshold."""
 
-    def __init__(self, host):
-        self.host = host
-        self.line = FifoQueue()
+    def __init__(self, control):
+        self.control = control
+        self.queue = FifoQueue()
 
     @property
-    def knows_lifetimes(self):
-        """Whether lifetimes are regarded; a decision of the policy."""
-        return self.host.inputs.decisions.deadlines
+    def enforces_deadlines(self):
+        """Whether the policy enables deadlines."""
+        return self.control.inputs.decisions.deadlines
 
     def limit(self, now):
-        """Return the announced slots, ramped and backed off."""
-        return self.host.slot_limit.current(now)
+        """Return the announced slots, as reduced by `SlotLimit`."""
+        return self.control.slot_limit.current(now)
 
     def refuses(self, call, now):
-        """Refuse nobody before the line is looked at."""
+        """Return False: no call is refused on arrival."""
         return False
 
-    def enter(self, waiting, now):
-        """Queue a call, or refuse it when the line is full."""
-        if self.line.live >= self.capacity(now):
-            self.host.refuse_overloaded(waiting, now)
+    def enqueue(self, waiting, now):
+        """Queue a call, or refuse it if the queue is full."""
+        if self.queue.size >= self.capacity(now):
+            self.control.refuse_overloaded(waiting, now)
         else:
-            self.line.push(waiting)
+            self.queue.push(waiting)
 
     def capacity(self, now):
-        """Return how many calls may wait."""
+        """Return how many calls may be queued."""
         return MAX_QUEUE
 
-    def wait_until(self, call, now):
-        """Let a call wait until its life is over."""
+    def recheck_time(self, call, now):
+        """Return the call's deadline: it may wait until then."""
         return call.expires_at
 
-    def outwaited(self, waiting, now):
-        """Let it wait on, in line since another scheme was in force."""
-        waiting.until = waiting.call.expires_at
+    def recheck(self, waiting, now):
+        """Let the call wait until its deadline.
 
-    def take(self, now):
-        """Take the oldest call."""
-        return self.line.pop()
+        This call was queued by another scheme, which set an earlier time.
+        """
+        waiting.recheck_at = waiting.call.expires_at
 
-    def granted(self, waited, now):
+    def next_call(self, now):
+        """Remove and return the oldest call, or None."""
+        return self.queue.pop()
+
+    def granted(self, waited_s, now):
         """Do nothing."""
 
     def finished(self, elapsed, answer, now):
         """Do nothing."""
 
     def level(self, now):
-        """Return that callers' daemons need refuse nobody."""
+        """Return a threshold that admits all levels."""
         return ADMIT_ALL
