--- a/packages/papayabay-bench/src/papayabay_bench/history/clients.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/clients.py
@@ -11,7 +11,7 @@
     BROWSE_PATH,
     CONFIRM_PATH,
     DOCUMENT_PATH,
-    FRONT_SERVICE,
+    FRONT,
 )
 from papayabay_bench.load.client import KEYS_PATH, kind_of
 from papayabay_bench.targets.answers import is_own_answer
@@ -47,7 +47,7 @@
         Targets record it with each effect and pass it on in their own calls.
         """
         headers = {
-            SERVICE_HEADER: FRONT_SERVICE,
+            SERVICE_HEADER: FRONT,
             NONCE_HEADER: self.name,
             REQUEST_HEADER: attempt,
         }
@@ -152,7 +152,7 @@
                 request=request.name,
                 key=request.key,
                 entry=entry,
-                service=FRONT_SERVICE,
+                service=FRONT,
                 method=request.method,
                 path=request.path,
                 body_bytes=len(request.body),
--- a/packages/papayabay-bench/src/papayabay_bench/history/operators.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/operators.py
@@ -8,7 +8,7 @@
     PatchStored,
     PatchSubmitted,
 )
-from papayabay_bench.history.system import BACK_SERVICE, FRONT_SERVICE
+from papayabay_bench.history.system import BACK, FRONT
 from papayabay_core.configuration import CommitOutcome, ConfigurationLog, new_patch
 from papayabay_core.exceptions import PlatformError
 from papayabay_core.platform import HttpObjectStore, HttpTableService
@@ -62,7 +62,7 @@
         upstreams changes no routing decision.
         """
         number = next(self.patch_numbers)
-        service = (FRONT_SERVICE, BACK_SERVICE)[number % 2]
+        service = (FRONT, BACK)[number % 2]
         subset = 12 + (base + number) % 100
         changes = {"services": {service: {"routing": {"subset": subset}}}}
         patch = new_patch(base, changes, f"operator-{number}")
--- a/packages/papayabay-bench/src/papayabay_bench/history/system.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/system.py
@@ -3,8 +3,10 @@
 from papayabay_bench.fleet.plan import FleetPlan, ServicePlan
 from papayabay_bench.targets.specification import CallPath, OutgoingCall, ServiceTime
 
-FRONT_SERVICE = "orders-svc"
-BACK_SERVICE = "stock-svc"
+FRONT = "orders-svc"
+"""Service that clients call."""
+BACK = "stock-svc"
+"""Service that the front service calls."""
 CONFIRM_PATH = "/orders"
 RESERVE_PATH = "/reserve"
 BROWSE_PATH = "/browse"
@@ -41,16 +43,14 @@
 
 def front_service():
     """Return the plan of the service that clients call."""
-    reserve = OutgoingCall(service=BACK_SERVICE, path=RESERVE_PATH, method="POST")
-    browse = OutgoingCall(service=BACK_SERVICE, path=BROWSE_PATH)
+    reserve = OutgoingCall(service=BACK, path=RESERVE_PATH, method="POST")
+    browse = OutgoingCall(service=BACK, path=BROWSE_PATH)
     paths = [
         CallPath(prefix=CONFIRM_PATH, effect=True, work=WORK, calls=[reserve]),
         CallPath(prefix=DOCUMENT_PATH, work=WORK, answer_bytes=DOCUMENT_BYTES),
         CallPath(prefix=BROWSE_PATH, work=WORK, calls=[browse]),
     ]
-    return ServicePlan(
-        name=FRONT_SERVICE, paths=paths, upstreams=UPSTREAMS, slots=SLOTS
-    )
+    return ServicePlan(name=FRONT, paths=paths, upstreams=UPSTREAMS, slots=SLOTS)
 
 
 def back_service():
@@ -59,15 +59,15 @@
         CallPath(prefix=RESERVE_PATH, effect=True, work=WORK),
         CallPath(prefix=BROWSE_PATH, work=WORK),
     ]
-    return ServicePlan(name=BACK_SERVICE, paths=paths, upstreams=UPSTREAMS, slots=SLOTS)
+    return ServicePlan(name=BACK, paths=paths, upstreams=UPSTREAMS, slots=SLOTS)
 
 
 def policy():
     """Return the policy of both services, as values of a policy document."""
     return {
         "services": {
-            FRONT_SERVICE: service_policy(CONFIRM_PATH),
-            BACK_SERVICE: service_policy(RESERVE_PATH),
+            FRONT: service_policy(CONFIRM_PATH),
+            BACK: service_policy(RESERVE_PATH),
         }
     }
 
