--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/result.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/result.py
@@ -85,7 +85,7 @@
 
 def series_of(run_data):
     """Return the time series of a run."""
-    load_start = run_data.windows["whole"].load_start
+    load_start = run_data.windows["whole"].begins
     return {
         "offered": per_class(run_data.requests, load_start, "due"),
         "goodput": per_class(
