--- a/packages/papayabay-bench/src/papayabay_bench/history/silenced.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/silenced.py
@@ -1,9 +1,10 @@
 """Runs a daemon that black-holes its open links on a signal.
 
-On `SIGUSR1` every open link stops to send and receive, as when a firewall
+On `SIGUSR1` every open link stops sending and receiving, as when a firewall
 between the two daemons has dropped the connection's state. New links work.
-Neither side sees the connection close: when this daemon aborts such a link,
-its socket is kept open for a while. Everything else is the unchanged daemon.
+Neither side is notified. When this daemon aborts such a link, its socket is
+kept open for a while, so that the peer doesn't see the connection close.
+Everything else is the unchanged daemon.
 """
 
 import asyncio
