--- a/packages/papayabay-bench/src/papayabay_bench/history/rules/lifetimes.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/rules/lifetimes.py
@@ -1,23 +1,23 @@
-"""Nothing is run for a request whose life has ended.
+"""Checks that no call is run for a request whose lifetime has expired.
 
-A request's life begins when its entry reads it, so one that lay unread at a
-paused entry isn't judged.
+A request's lifetime starts when its entry daemon reads it, so requests that
+waited unread at a paused daemon are left out.
 """
 
 from papayabay_bench.history.intervals import fault_intervals
 from papayabay_bench.history.records import Arrival, Invocation
-from papayabay_bench.history.violations import Violation, shortest_trace
+from papayabay_bench.history.violations import Violation, ordered_trace
 
 RULE = "lifetimes"
 
 
 def violations(history, limits):
-    """Yield the calls that reached a target after their request's life."""
+    """Yield the calls that reached a target after their request expired."""
     pauses = fault_intervals(history, "pause")
-    sent = {one.attempt: one for one in history.of(Invocation)}
-    longest = limits.life_seconds + limits.life_slack_seconds
-    for arrival in history.of(Arrival):
-        invocation = sent.get(arrival.attempt)
+    invocations = {one.attempt: one for one in history.of_type(Invocation)}
+    longest = limits.lifetime_seconds + limits.lifetime_slack_seconds
+    for arrival in history.of_type(Arrival):
+        invocation = invocations.get(arrival.attempt)
         if invocation is None or arrival.began <= invocation.time + longest:
             continue
         at_entry = (one for one in pauses if one.subject == invocation.entry)
@@ -25,5 +25,5 @@
             continue
         seconds = arrival.began - invocation.time
         reason = f"reached {arrival.target} {seconds:.2f} s after it was sent"
-        trace = shortest_trace([invocation, arrival])
+        trace = ordered_trace([invocation, arrival])
         yield Violation(RULE, arrival.attempt, reason, trace)
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/expectations.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/expectations.py
@@ -1,4 +1,4 @@
-"""The `expect` lines: which measures there are, and whether one holds."""
+"""Validates and evaluates the `expect` lines of a scenario."""
 
 import operator
 from dataclasses import dataclass
@@ -11,8 +11,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """Which measure, of which class and in which stretch."""
+class MeasureSelector:
+    """Name of a measure, with the class and the window to compute it for.
+
+    Attributes
+    ----------
+    importance : str or None
+        None for all classes.
+    window : str
+        One of `WINDOWS`.
+    """
 
     measure: str
     importance: str | None
@@ -20,58 +28,64 @@
 
     @property
     def text(self):
-        """The measure as a scenario writes it."""
+        """The selector as it is written in a scenario."""
         words = (self.measure, self.importance or "", self.window)
         return " ".join(word for word in words if word)
 
 
-def wanted_of(words, place):
-    """Return the measure that words name.
+def parse_selector(words, position):
+    """Return the selector that the words of an `expect` line name.
 
     Raises
     ------
     ScenarioError
+        When a word is unknown.
     """
     measure, *rest = words
     if measure not in MEASURES:
         known = ", ".join(MEASURES)
-        raise ScenarioError(f"{measure} is no measure; there are {known}.", place)
+        raise ScenarioError(
+            f"Unknown measure {measure}; known measures: {known}.", position
+        )
     importance = next((word for word in rest if word in CLASS_NAMES), None)
     window = next((word for word in rest if word in WINDOWS), "")
-    strange = [word for word in rest if word not in (importance, window)]
-    if strange:
-        sentence = f"{strange[0]} is neither an importance class nor a stretch."
-        raise ScenarioError(sentence, place)
-    return Wanted(measure, importance, window or MEASURES[measure].window)
+    unknown = [word for word in rest if word not in (importance, window)]
+    if unknown:
+        message = f"{unknown[0]} is neither an importance class nor a window."
+        raise ScenarioError(message, position)
+    return MeasureSelector(measure, importance, window or MEASURES[measure].window)
 
 
 def check_expectation(scenario, expectation):
-    """Raise unless an expectation can be judged.
+    """Check that an expectation can be evaluated for a scenario.
 
     Raises
     ------
     ScenarioError
     """
-    wanted = wanted_of(expectation.words, expectation.place)
-    if expectation.of_bound and wanted.measure != "goodput":
-        sentence = "Only goodput has a bound."
-        raise ScenarioError(sentence, expectation.place)
-    if wanted.window != "whole" and scenario.trigger is None:
-        sentence = f"Without a fault there is no stretch {wanted.window}."
-        raise ScenarioError(sentence, expectation.place)
+    selector = parse_selector(expectation.words, expectation.position)
+    if expectation.of_bound and selector.measure != "goodput":
+        message = "Only goodput can be compared with the bound."
+        raise ScenarioError(message, expectation.position)
+    if selector.window != "whole" and scenario.trigger is None:
+        message = f"Without a fault there is no window {selector.window}."
+        raise ScenarioError(message, expectation.position)
 
 
 @dataclass(slots=True)
 class Verdict:
-    """Whether an expectation held.
+    """The result of an expectation.
 
     Attributes
     ----------
     line : int
+        Line number of the expectation.
     text : str
         The line as written.
     measured : float or None
-        None where nothing could be measured; that never holds.
+        None when there is nothing to measure.
+    holds : bool
+        Whether the measured value met the expectation; False without one.
     """
 
     line: int
@@ -80,27 +94,27 @@
     holds: bool
 
 
-def judge(evidence, expectation):
+def evaluate(run_data, expectation):
     """Return the verdict on an expectation.
 
     Parameters
     ----------
-    evidence : Evidence
+    run_data : RunData
     expectation : Expectation
     """
-    wanted = wanted_of(expectation.words, expectation.place)
-    measured = measure(evidence, wanted)
+    selector = parse_selector(expectation.words, expectation.position)
+    measured = compute_measure(run_data, selector)
     if expectation.of_bound and measured is not None:
-        bound = evidence.bound(evidence.windows[wanted.window], wanted.importance)
+        bound = run_data.bound(run_data.windows[selector.window], selector.importance)
         measured = measured / bound if bound else None
     compare = COMPARISONS[expectation.comparison]
     holds = measured is not None and compare(measured, expectation.value)
-    return Verdict(expectation.place.line, expectation.text, measured, holds)
+    return Verdict(expectation.position.line, expectation.text, measured, holds)
 
 
-def measure(evidence, wanted):
-    """Return a measure's value; None where there is nothing to measure."""
-    window = evidence.windows.get(wanted.window)
+def compute_measure(run_data, selector):
+    """Return the value of a measure, or None if nothing can be measured."""
+    window = run_data.windows.get(selector.window)
     if window is None:
         return None
-    return MEASURES[wanted.measure].compute(evidence, wanted.importance, window)
+    return MEASURES[selector.measure].compute(run_data, selector.importance, window)
