--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/__init__.py
@@ -1,4 +1,4 @@
-"""Links: framed Cap'n Proto messages between daemons, on TCP."""
+"""Links: TCP connections between daemons that carry framed messages."""
 
 from papayabay_daemon._internal.links.peers import PeerLinks
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/call_frames.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/call_frames.py
@@ -1,11 +1,12 @@
-"""Frames of calls and answers, which pass each daemon with every call.
+"""Encodes and decodes the frames of calls and answers.
 
-They are MessagePack, typed and checked by `msgspec`, which is much faster than
-Cap'n Proto's dynamic schema; all other frames are Cap'n Proto.
+They are the most frequent frames, so they are MessagePack, validated by
+`msgspec`, which is much faster than Cap'n Proto's dynamic schema. All other
+frames are Cap'n Proto; see `codec`.
 
-Headers travel packed in one field, names and values by turns with a NUL
-between them. Text is UTF-8 with surrogate escapes, which is how the HTTP doors
-decode header values; any bytes of a value come out as they went in.
+Headers are packed into one field: names and values alternate, separated by
+NUL. Text is UTF-8 with surrogate escapes, as the HTTP doors decode header
+values, so any bytes of a value are preserved.
 """
 
 from itertools import chain
@@ -23,13 +24,13 @@
 SEPARATOR = "\0"
 MAX_REMAINING_MS = 2**32 - 1
 FIRST_ARRAY_BYTE = 0x90
-"""A MessagePack array begins with this byte or a greater one, a Cap'n Proto
-message with its number of segments, of which a frame has few."""
+"""The first byte of a MessagePack array is this or greater. A Cap'n Proto
+message starts with its number of segments, which is small in a frame."""
 
 EFFECTS = (Effect.NOT_RUN, Effect.RUN, Effect.UNKNOWN)
 EFFECT_NUMBERS = {effect: number for number, effect in enumerate(EFFECTS)}
 IMPORTANCES = tuple(Importance)
-KINDS = {int(kind): kind for kind in ErrorKind}
+ERROR_KINDS = {int(kind): kind for kind in ErrorKind}
 
 Count = Annotated[int, Meta(ge=0, le=2**32 - 1)]
 Identifier = Annotated[int, Meta(ge=0, le=2**63 - 1)]
@@ -42,19 +43,20 @@
     Attributes
     ----------
     id : int
-        Never used again on its link.
+        Unique on the link; never reused.
     remaining_ms : int
-        Life left when it was sent.
+        Time until the call's deadline when the frame was sent.
     sent_at_us : int
-        The sender's own clock; only differences are used.
+        The sender's clock, microseconds; only differences are used.
     importance : int
-        Place in `IMPORTANCES`.
+        Index into `IMPORTANCES`.
     last : bool
-        Whether all of the body is in this frame.
+        Whether this frame contains the whole body.
     purpose : int
-        0 to run it, 1 to forward it to the key's home.
+        0 to run the call, 1 to forward it to the home of its key.
     declared : int or None
-        Place in `IMPORTANCES` of the class by policy, where it is another.
+        Index into `IMPORTANCES` of the class that the policy gives, if it
+        differs from `importance`.
     account : str
         Name of the client account; empty without one.
     """
@@ -83,7 +85,7 @@
 
 
 class LoadFrame(msgspec.Struct, array_like=True):
-    """The load state in an answer; see `LoadState`."""
+    """The load state reported with an answer; see `LoadState`."""
 
     in_flight: int
     queued: int
@@ -100,13 +102,16 @@
     Attributes
     ----------
     kind : int
-        Number of the error kind, 0 for a target's own answer.
+        Number of the error kind, 0 for an answer of the target.
     effect : int
-        Place in `EFFECTS`.
+        Index into `EFFECTS`.
+    last : bool
+        Whether this frame contains the whole body.
     confirmed_version : int
+        Configuration version of the sender.
     confirmed_age_ms : int or None
-        How long ago the store confirmed to the sender, or to one that it
-        heard from, that this was its newest configuration.
+        Time since the store confirmed, to the sender or to a daemon that
+        the sender learned it from, that this version was the newest.
     """
 
     id: Identifier
@@ -130,7 +135,7 @@
 
 
 def is_call_frame(frame):
-    """Return whether a frame is one of this module's."""
+    """Return whether a frame is a call or an answer."""
     return frame[0] >= FIRST_ARRAY_BYTE
 
 
@@ -143,18 +148,19 @@
 
 
 def pack_headers(headers):
-    """Return headers as one block of bytes.
+    """Return headers packed into one block of bytes.
 
     Raises
     ------
     CallError
-        BAD_REQUEST for text that HTTP does not allow in a header either.
+        BAD_REQUEST for a NUL or for text that can't be encoded; HTTP does
+        not allow either in a header.
     """
     if not headers:
         return b""
     text = SEPARATOR.join(chain.from_iterable(headers))
-    # A NUL inside a value would shift all later names and values, and one
-    # header could pass for another at the peer.
+    # A NUL inside a value would shift all names and values after it, so that
+    # the peer would take one header for another.
     if text.count(SEPARATOR) != 2 * len(headers) - 1:
         raise CallError(ErrorKind.BAD_REQUEST, "NUL in a header")
     try:
@@ -182,18 +188,18 @@
         Identifier on the link.
     call : Call
     first : bytes
-        The part of the body that travels in this frame.
+        The first part of the body, which this frame contains.
     last : bool
-        Whether that is all of the body.
+        Whether that is the whole body.
     stamp_us : int
-        This machine's clock.
+        This machine's clock, microseconds.
     purpose : int
-        0 to run it, 1 to forward it to the key's home.
+        0 to run the call, 1 to forward it to the home of its key.
 
     Raises
     ------
     CallError
-        BAD_REQUEST for a call that can't be put into a frame.
+        BAD_REQUEST for a call that can't be encoded.
     """
     remaining_ms = int(call.remaining() * 1000)
     frame = CallFrame(
@@ -232,7 +238,8 @@
     ----------
     frame : CallFrame
     excess : float
-        Seconds that the frame needed beyond the link's fastest one.
+        Seconds that the frame took longer than the link's fastest one;
+        they shorten the call's remaining time.
 
     Raises
     ------
@@ -280,7 +287,7 @@
             retry_after_ms=answer.retry_after_ms,
             credits_left=answer.credits_left,
             exhausted=answer.exhausted,
-            load=None if answer.load is None else load_frame(answer.load),
+            load=None if answer.load is None else encode_load(answer.load),
             detail=answer.detail,
             headers=pack_headers(answer.headers),
             body=first,
@@ -291,8 +298,8 @@
     )
 
 
-def load_frame(load):
-    """Return a load state in the form that travels."""
+def encode_load(load):
+    """Return a load state as it is sent."""
     return LoadFrame(
         load.in_flight,
         load.queued,
@@ -322,13 +329,13 @@
 def decode_answer(frame):
     """Return the answer of a frame; raises `ProtocolError`."""
     kind = frame.kind
-    if kind and kind not in KINDS:
+    if kind and kind not in ERROR_KINDS:
         raise ProtocolError(f"answer of kind {kind}")
     return Answer(
         status=frame.status,
         headers=unpack_headers(frame.headers),
         body=Body(frame.body),
-        kind=KINDS[kind] if kind else None,
+        kind=ERROR_KINDS[kind] if kind else None,
         effect=EFFECTS[frame.effect],
         retry_after_ms=frame.retry_after_ms,
         credits_left=frame.credits_left,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/codec.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/codec.py
@@ -1,6 +1,6 @@
-"""Cap'n Proto frames: everything but calls and answers.
+"""Encodes Cap'n Proto frames: all frames but calls and answers.
 
-Those are in `call_frames`, for the time that they take.
+Calls and answers use a faster format; see `call_frames`.
 """
 
 from papayabay_core.wire import schema
@@ -10,7 +10,7 @@
 
 
 def encode_fields(name, **fields):
-    """Return a frame with one message of plain fields."""
+    """Return a frame of a message whose fields are plain values."""
     frame = new_frame()
     message = frame.init(name)
     for field, value in fields.items():
@@ -19,28 +19,28 @@
 
 
 def encode_number(name, number):
-    """Return a frame that carries just a number, such as a ping."""
+    """Return a frame that holds one number, such as a ping."""
     frame = new_frame()
     setattr(frame, name, number)
     return frame.to_bytes()
 
 
 def encode_leaving():
-    """Return the frame that says this daemon is leaving."""
+    """Return the frame that announces that this daemon is leaving."""
     frame = new_frame()
     frame.leaving = None
     return frame.to_bytes()
 
 
 def encode_proof(proof):
-    """Return the frame with the proof of knowing the secret."""
+    """Return the frame with the proof that this end knows the secret."""
     frame = new_frame()
     frame.proof = proof
     return frame.to_bytes()
 
 
 def encode_part(number, data, of_answer, last=False, failed=False):
-    """Return a frame with a further part of a body."""
+    """Return a frame with one more part of a streamed body."""
     frame = new_frame()
     message = frame.init("bodyPart")
     message.id = number
@@ -52,12 +52,12 @@
 
 
 def encode_window(number, size, of_answer):
-    """Return a frame that grants more bytes of a body."""
+    """Return a frame that lets the peer send more bytes of a body."""
     return encode_fields("window", id=number, bytes=size, ofAnswer=of_answer)
 
 
 def encode_request(number, topic, payload):
-    """Return a control question's frame."""
+    """Return a control request's frame."""
     return encode_fields("request", id=number, topic=topic, payload=payload)
 
 
@@ -67,7 +67,7 @@
 
 
 def encode_retire():
-    """Return the frame that says no new calls come on this link."""
+    """Return the frame that says that no new calls follow on the link."""
     frame = new_frame()
     frame.retire = None
     return frame.to_bytes()
