--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/lifetime.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/clock_offset.py
@@ -1,4 +1,4 @@
-"""How long a frame was on its way, with no clock shared."""
+"""Estimates how long a frame was delayed, without synchronized clocks."""
 
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.links.limits import OFFSET_BUCKET_US
@@ -10,16 +10,19 @@
 
 
 class ClockOffset:
-    """The smallest difference between two clocks seen lately on a link.
+    """The smallest recent difference between the two clocks of a link.
 
-    A frame that waited in a paused process or a full socket shows a larger
-    difference between the receiver's clock and the sender's stamp than the
-    fastest frame did. That excess has passed for the caller, although no
-    remaining time that travels in a frame can show it.
+    For a frame that waited in a paused process or a full socket, the
+    difference between the receiver's clock and the sender's stamp is larger
+    than for the fastest frame. The caller has waited for that excess too, but
+    the remaining time in the frame can't include it, since it was written
+    before the wait.
 
-    Two buckets slide over time, so that the clocks may drift apart. A bucket
-    is only replaced by one that follows it: after a pause of this process the
-    delayed frames can't push out both buckets at once and pass for normal.
+    The minimum is kept in two buckets, the older of which is dropped when a
+    new one starts, because the clocks may drift apart. Only one bucket is
+    replaced at a time: otherwise the delayed frames that are read after a
+    pause of this process would replace both and their delay would pass for
+    normal.
     """
 
     __slots__ = ("current", "previous", "rotate_at")
@@ -37,7 +40,7 @@
         return min(self.current, self.previous)
 
     def observe(self, own_us, stamp_us):
-        """Take a stamp in and return the frame's excess delay.
+        """Record a frame's stamp and return the frame's excess delay.
 
         Parameters
         ----------
@@ -47,7 +50,7 @@
         Returns
         -------
         float
-            Seconds beyond the fastest frame seen lately; never negative.
+            Seconds longer than the fastest recent frame; never negative.
         """
         difference = own_us - stamp_us
         if self.current is None:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/connection.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection that carries frames once both ends are proven."""
+"""A TCP connection that exchanges frames after a mutual handshake."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
     read_call_frame,
 )
 from papayabay_daemon._internal.links.codec import encode_proof, read_frame
-from papayabay_daemon._internal.links.framing import FrameCutter, add_prefix
+from papayabay_daemon._internal.links.framing import FrameDecoder, add_length_prefix
 from papayabay_daemon._internal.links.handshake import (
     Handshake,
     decode_hello,
@@ -28,26 +28,32 @@
 
 
 class Connection(asyncio.Protocol):
-    """Handshake, frames in and out, and the end of a connection.
+    """Performs the handshake, sends and receives frames, and closes.
 
-    What the frames mean is up to the class that extends it: it fills
-    `receivers` and can have a `begin` and an `end`.
+    A subclass handles the frames: it fills `receivers` and may override
+    `on_opened` and `on_closed`.
 
     Parameters
     ----------
     owner : PeerLinks
     expected : str or None
-        Name of the daemon that is dialled; None for one that dialled us.
+        Name of the daemon that is dialled; None for an accepted connection.
 
     Attributes
     ----------
     receivers : dict of str or type to callable
-        By the name of a Cap'n Proto frame or the type of another, what takes
-        it once the handshake is over.
+        Handlers of frames after the handshake, by the name of a Cap'n Proto
+        frame or the type of a MessagePack frame.
     opened : asyncio.Future of bool
         Whether the handshake succeeded.
+    is_open : bool
+        Whether the handshake is complete.
     peer_retired : bool
-        Whether the peer has said that it wants to close.
+        Whether the peer has announced that it sends no new calls here.
+    paused : bool
+        Whether the write buffer is full.
+    last_received : float
+        When data was last received, on `clock.now()`.
     """
 
     def __init__(self, owner, expected=None):
@@ -56,7 +62,7 @@
         self.counters = owner.counters
         self.dialled = expected is not None
         self.handshake = Handshake(owner.settings.cluster, owner.local, expected)
-        self.cutter = FrameCutter(MAX_HANDSHAKE_BYTES)
+        self.decoder = FrameDecoder(MAX_HANDSHAKE_BYTES)
         self.receivers = {}
         self.opened = self.loop.create_future()
         self.transport = None
@@ -69,47 +75,47 @@
         self.paused = False
         self.writable = asyncio.Event()
         self.writable.set()
-        self.last_heard = now()
+        self.last_received = now()
         self.timer = None
 
     def connection_made(self, transport):
-        """Introduce ourselves."""
+        """Send the hello; close the connection if there are too many."""
         self.transport = transport
         transport.set_write_buffer_limits(high=WRITE_HIGH_BYTES)
-        if not self.owner.link_made(self):
-            self.lose("too many unproven links")
+        if not self.owner.accept_link(self):
+            self.abort("too many unauthenticated links")
             return
-        self.timer = self.loop.call_later(HANDSHAKE_SECONDS, self.handshake_overdue)
-        self.send(encode_hello(self.handshake.own))
+        self.timer = self.loop.call_later(HANDSHAKE_SECONDS, self.handshake_timed_out)
+        self.send(encode_hello(self.handshake.local_hello))
 
     def data_received(self, data):
-        """Handle all frames that are whole now."""
+        """Handle all frames that are complete now."""
         if self.closed:
             return
-        self.last_heard = now()
-        self.cutter.feed(data)
+        self.last_received = now()
+        self.decoder.feed(data)
         try:
             while not self.closed:
-                frame = self.cutter.next_frame()
+                frame = self.decoder.next_frame()
                 if frame is None:
                     return
                 self.receive(frame)
         except ProtocolError as error:
-            self.refuse(str(error))
+            self.reject(str(error))
         except (capnp.KjException, ValueError) as error:
-            # Garbage makes pycapnp raise these at whichever field is read
-            # first. It costs the peer this link and nobody anything else.
-            self.refuse(f"malformed frame: {str(error)[:100]!r}")
+            # pycapnp raises these at the first field that is read of a
+            # malformed message. Only this link is closed.
+            self.reject(f"malformed frame: {str(error)[:100]!r}")
         except Exception as error:
-            # A fault in one receiver must not leave the link half read, with
-            # later frames cut from the middle of an earlier one.
-            self.refuse(f"frame not handled: {error!r:.200}")
+            # After an error in a handler the link must not be left half read:
+            # later frames could be split in the middle of an earlier one.
+            self.reject(f"frame not handled: {error!r:.200}")
 
     def receive(self, frame):
-        """Hand one frame to its receiver."""
+        """Pass one frame to its handler."""
         if is_call_frame(frame):
             if not self.is_open:
-                raise ProtocolError("a call before the handshake")
+                raise ProtocolError("the peer sent a call before the handshake")
             message = read_call_frame(frame)
             self.receivers[type(message)](message)
             return
@@ -117,8 +123,8 @@
             try:
                 name = message.which()
             except capnp.KjException:
-                # A member of the union that a later version added. Its
-                # sender can't know that we lack it, so the link goes on.
+                # A frame type that a later version added. The sender can't
+                # know that this version lacks it, so the link stays open.
                 self.counters.frames_unknown += 1
                 return
             if self.is_open:
@@ -127,10 +133,10 @@
                     raise ProtocolError(f"{name} after the handshake")
                 receiver(getattr(message, name))
             else:
-                self.receive_unproven(name, message)
+                self.receive_handshake(name, message)
 
-    def receive_unproven(self, name, message):
-        """Take the handshake a step on; nothing else is allowed yet."""
+    def receive_handshake(self, name, message):
+        """Handle a handshake frame; other frames are not allowed yet."""
         if name == "hello":
             proof = self.handshake.accept_hello(decode_hello(message.hello))
             self.send(encode_proof(proof))
@@ -138,35 +144,35 @@
             self.handshake.accept_proof(message.proof)
             self.open()
         else:
-            raise ProtocolError(f"{name} before the handshake")
+            raise ProtocolError(f"the peer sent {name!r} before the handshake")
 
     def open(self):
-        """Begin to use the link; the peer has proven who it is."""
+        """Open the link: the peer is authenticated."""
         self.timer.cancel()
         self.peer_name = self.handshake.peer.daemon
         self.incarnation = self.handshake.peer.incarnation
-        self.cutter.max_bytes = MAX_FRAME_BYTES
+        self.decoder.max_bytes = MAX_FRAME_BYTES
         self.is_open = True
         self.since = now()
         self.owner.link_opened(self)
         if self.closed:
             return
-        self.begin()
+        self.on_opened()
         if not self.opened.done():
             self.opened.set_result(True)
 
-    def begin(self):
-        """Start what a link does on its own once it is open."""
+    def on_opened(self):
+        """Start what a subclass does on an open link."""
 
-    def end(self, reason):
-        """Answer all that waits on the link, which has ended."""
+    def on_closed(self, reason):
+        """Release what a subclass holds; the link is closed or lost."""
 
-    def handshake_overdue(self):
-        """Give up on a peer that doesn't introduce itself."""
-        self.refuse("no handshake in time")
+    def handshake_timed_out(self):
+        """Close the connection of a peer that did not authenticate in time."""
+        self.reject(f"no handshake within {HANDSHAKE_SECONDS} s")
 
-    def refuse(self, reason):
-        """Close the link because of what the peer sent."""
+    def reject(self, reason):
+        """Log the reason and close the link, because of what the peer sent."""
         if self.closed:
             return
         if self.is_open:
@@ -174,50 +180,54 @@
         else:
             self.counters.links_refused += 1
         address = self.transport.get_extra_info("peername")
-        self.owner.limited_log.warn(
-            "refused", "Link with {} {} closed: {}", self.peer_name, address, reason
+        self.owner.rate_limited_log.warn(
+            "refused",
+            "Closed the link with peer {!r} at {}: {}",
+            self.peer_name,
+            address,
+            reason,
         )
-        self.lose(reason)
+        self.abort(reason)
 
-    def lose(self, reason):
-        """Drop the connection at once and answer all that waits on it."""
+    def abort(self, reason):
+        """Close the connection at once; unsent data is dropped."""
         if self.closed:
             return
         self.closed = True
         self.transport.abort()
-        self.finish(reason)
+        self.release(reason)
 
     def close(self):
-        """Close the connection after what was written is sent."""
+        """Close the connection after the buffered data is sent."""
         if self.closed:
             return
         self.closed = True
         self.transport.close()
         # A peer that stopped reading would keep the socket and its unsent
-        # data for ever, and no heartbeat runs on a closed link.
+        # data forever, since closed links are not checked for liveness.
         self.loop.call_later(CLOSE_SECONDS, self.transport.abort)
-        self.finish("the link was closed")
+        self.release("the link was closed")
 
-    def finish(self, reason):
-        """Release everything; called once, whatever ended the link."""
+    def release(self, reason):
+        """Release all resources; called once, however the link ended."""
         if self.timer is not None:
             self.timer.cancel()
         if not self.opened.done():
             self.opened.set_result(False)
         self.paused = False
         self.writable.set()
-        self.end(reason)
+        self.on_closed(reason)
         self.owner.link_closed(self)
 
     def connection_lost(self, error):
-        """Note an end that didn't come from us."""
+        """Count and handle a connection that this end did not close."""
         if self.closed:
             return
-        if self.cutter.buffer:
+        if self.decoder.buffer:
             self.counters.frames_bad += 1
         self.counters.links_lost += self.is_open and not self.peer_retired
         self.closed = True
-        self.finish("the connection was lost")
+        self.release("the connection was lost")
 
     def send(self, frame):
         """Write a frame.
@@ -225,31 +235,31 @@
         Returns
         -------
         bool
-            False when no byte of it was handed to the connection.
+            False if no byte of it was passed to the transport.
         """
         if self.closed or self.transport.is_closing():
             return False
-        # Heartbeat answers, windows and refusals are written without waiting.
-        # A peer that sends but never reads would pile them up in this
-        # process; its memory would show it. Such a link is dropped.
+        # Heartbeat answers, windows and error answers are written without
+        # waiting for the buffer to drain. A peer that sends but never reads
+        # would make it grow without bound, so such a link is closed.
         if self.paused and self.transport.get_write_buffer_size() > WRITE_LIMIT_BYTES:
             self.counters.links_overrun += 1
-            self.lose("the peer does not read")
+            self.abort("the peer does not read")
             return False
-        self.transport.write(add_prefix(frame))
+        self.transport.write(add_length_prefix(frame))
         return True
 
     def pause_writing(self):
-        """Stop senders that can wait."""
+        """Block senders that use `wait_writable`."""
         self.paused = True
         self.writable.clear()
 
     def resume_writing(self):
-        """Let senders go on."""
+        """Unblock senders."""
         self.paused = False
         self.writable.set()
 
     async def wait_writable(self):
-        """Wait until there is room to write, or the link has ended."""
+        """Wait until the write buffer has drained or the link is closed."""
         while self.paused:
             await self.writable.wait()
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/counters.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/counters.py
@@ -1,4 +1,4 @@
-"""What the links count, and log lines that can't flood the log."""
+"""Counters of the links, and a rate-limited logger."""
 
 from dataclasses import asdict, dataclass
 
@@ -8,7 +8,12 @@
 
 @dataclass(slots=True)
 class LinkCounters:
-    """Totals since the daemon started; `links_refused` are handshakes."""
+    """Totals since the daemon started.
+
+    `links_refused` counts connections that were closed before the end of
+    their handshake, `links_doubted` the times that a peer became
+    unresponsive.
+    """
 
     links_opened: int = 0
     links_lost: int = 0
@@ -35,11 +40,11 @@
         return asdict(self)
 
 
-class LimitedLog:
-    """Logs at most one line of each kind per period.
+class RateLimitedLog:
+    """Logs at most one line of each kind per `LOG_PERIOD_SECONDS`.
 
-    A misconfigured peer redials for as long as it runs. Without a limit its
-    refusals would fill the log; the counters still tell how many there were.
+    A misconfigured peer redials for as long as it runs. Without a limit, its
+    rejected handshakes would fill the log; the counters still count them all.
 
     Parameters
     ----------
@@ -51,7 +56,7 @@
         self.last = {}
 
     def warn(self, kind, message, *values, exc_info=False):
-        """Log a warning unless its kind was logged in this period."""
+        """Log a warning unless one of its kind was logged in this period."""
         moment = now()
         if moment - self.last.get(kind, -LOG_PERIOD_SECONDS) >= LOG_PERIOD_SECONDS:
             self.last[kind] = moment
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/dialling.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/dialling.py
@@ -1,4 +1,4 @@
-"""Making links to other daemons, and finding lost ones again."""
+"""Dials links to other daemons, with backoff, and redials lost peers."""
 
 import asyncio
 from contextlib import suppress
@@ -10,31 +10,31 @@
     BACKOFF_FIRST_SECONDS,
     BACKOFF_MAX_SECONDS,
     DIAL_SECONDS,
-    SEEK_PAUSE_SECONDS,
-    SEEK_SECONDS,
+    RECONNECT_PAUSE_SECONDS,
+    RECONNECT_SECONDS,
 )
 from papayabay_daemon._internal.links.link import Link
 from papayabay_daemon._internal.links.outgoing import unavailable
 
 
 @dataclass(slots=True)
-class Peer:
-    """What is kept of one peer.
+class PeerEntry:
+    """State of one peer.
 
     Attributes
     ----------
     links : list of Link
         Open links that take new calls, the newest last.
     dialling : asyncio.Task or None
-        The one dial in progress.
+        The dial in progress.
     failures : int
-        Dials that failed since the last success.
+        Failed dials since the last success.
     retry_at : float
-        Before this time on `clock.now()` the peer isn't dialled.
+        End of the backoff, on `clock.now()`.
     address : tuple
-        Where the last dial went.
-    seeking : asyncio.Task or None
-        Dials again and again a peer whose link ended in doubt.
+        Host and port of the last dial.
+    reconnecting : asyncio.Task or None
+        Redials the peer after its link was closed as unresponsive.
     """
 
     links: list[Link] = field(default_factory=list)
@@ -42,17 +42,17 @@
     failures: int = 0
     retry_at: float = 0.0
     address: tuple = ()
-    seeking: asyncio.Task | None = None
+    reconnecting: asyncio.Task | None = None
 
     @property
-    def unused(self):
-        """Whether nothing would be lost by forgetting this."""
-        busy = self.links or self.dialling or self.seeking
+    def is_disposable(self):
+        """Whether the entry holds no links, dials or backoff."""
+        busy = self.links or self.dialling or self.reconnecting
         return not busy and now() > self.retry_at
 
 
 class Dialler:
-    """Makes links, one dial per peer at a time.
+    """Dials links, at most one per peer at a time.
 
     Parameters
     ----------
@@ -66,14 +66,15 @@
         self.rng = rng
 
     async def dial(self, member):
-        """Return a new link; one dial per peer serves all who wait.
+        """Return a new link; concurrent callers share one dial.
 
         Raises
         ------
         CallError
-            LINK_UNAVAILABLE, at once while the peer is backed off from.
+            LINK_UNAVAILABLE if the dial failed, or at once during the
+            backoff after a failed dial of the same address.
         """
-        peer = self.links.peer_of(member.name)
+        peer = self.links.entry_of(member.name)
         if self.links.closing:
             raise unavailable("the links are closed")
         if peer.dialling is None:
@@ -83,7 +84,7 @@
             peer.address = address
             dial = self.connect(member, peer)
             peer.dialling = asyncio.get_running_loop().create_task(dial)
-        # Shielded: one caller that leaves must not end the others' dial.
+        # `wait` does not cancel the dial if one of its callers is cancelled.
         await asyncio.wait([peer.dialling])
         link = self.links.live_link(member.name)
         if link is None:
@@ -91,7 +92,7 @@
         return link
 
     async def connect(self, member, peer):
-        """Dial once and keep the result in the peer's entry."""
+        """Dial once and record the result in the peer's entry."""
         link = None
         try:
             async with asyncio.timeout(DIAL_SECONDS):
@@ -100,8 +101,8 @@
                 )
                 opened = await link.opened
         except (OSError, TimeoutError, ValueError, OverflowError):
-            # The last two come from an address that can't be one; it was
-            # gossiped, so nothing here has checked it.
+            # The last two are raised for an invalid address, which is not
+            # validated before since it comes from gossip.
             opened = False
         finally:
             peer.dialling = None
@@ -110,42 +111,45 @@
             peer.retry_at = 0.0
             return
         if link is not None:
-            link.lose("not opened in time")
+            link.abort("the link was not opened in time")
         self.links.counters.dials_failed += 1
         peer.retry_at = now() + self.backoff(peer.failures)
         peer.failures += 1
 
-    def seek(self, member):
-        """Dial a peer in the background until a link to it is open.
+    def reconnect(self, member):
+        """Redial a peer in the background after its link has timed out.
 
-        Its link was given up for silence. Were the doubt to end with it, calls
-        would choose the peer again and wait a second each for a link that
-        can't be had, as long as nobody has declared it dead: up to a quarter
-        of all requests of four seconds when machines lost power.
+        The peer stays marked as unresponsive meanwhile. Otherwise calls would
+        choose it again and each wait a second for a dial that fails, until
+        gossip declares the peer dead. When machines lost power, that delayed
+        up to a quarter of all requests for four seconds.
         """
-        peer = self.links.peer_of(member.name)
-        if self.links.closing or peer.seeking is not None:
+        peer = self.links.entry_of(member.name)
+        if self.links.closing or peer.reconnecting is not None:
             return
-        seeking = self.find_again(member, peer)
-        peer.seeking = asyncio.get_running_loop().create_task(seeking)
+        reconnecting = self.redial(member, peer)
+        peer.reconnecting = asyncio.get_running_loop().create_task(reconnecting)
 
-    async def find_again(self, member, peer):
-        """Dial until a link is open, or for `SEEK_SECONDS`; end the doubt."""
-        until = now() + SEEK_SECONDS
+    async def redial(self, member, peer):
+        """Dial until a link is open or `RECONNECT_SECONDS` have passed.
+
+        Afterwards the peer no longer counts as unresponsive.
+        """
+        until = now() + RECONNECT_SECONDS
         try:
             while self.links.live_link(member.name) is None and now() < until:
-                await asyncio.sleep(max(peer.retry_at - now(), SEEK_PAUSE_SECONDS))
+                await asyncio.sleep(max(peer.retry_at - now(), RECONNECT_PAUSE_SECONDS))
                 with suppress(CallError):
                     await self.dial(member)
         finally:
-            peer.seeking = None
-        self.links.peer_doubted(member.name, False)
+            peer.reconnecting = None
+        self.links.notify_unresponsive(member.name, False)
 
     def backoff(self, failures):
-        """Return seconds until the next dial, jittered.
+        """Return the seconds until the next dial, with jitter.
 
-        Without jitter all daemons that lost one peer would dial it in step
-        when it is back.
+        Without jitter, all daemons that lost the same peer would dial it at
+        the same moments.
         """
         longest = BACKOFF_FIRST_SECONDS * 2 ** min(failures, 10)
         return min(longest, BACKOFF_MAX_SECONDS) * self.rng.uniform(0.5, 1.0)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/framing.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/framing.py
@@ -1,23 +1,23 @@
-"""Cutting a byte stream into frames."""
+"""Splits a byte stream into length-prefixed frames."""
 
 from papayabay_core.exceptions import ProtocolError
 
 PREFIX_BYTES = 4
 
 
-def add_prefix(payload):
-    """Return a frame's bytes with the length before them."""
+def add_length_prefix(payload):
+    """Return a frame's bytes with their length prepended."""
     return len(payload).to_bytes(PREFIX_BYTES, "big") + payload
 
 
-class FrameCutter:
-    """Collects bytes and gives back whole frames.
+class FrameDecoder:
+    """Buffers received bytes and returns complete frames.
 
     Parameters
     ----------
     max_bytes : int
-        Longest frame that is accepted now; the owner raises it once the
-        peer has proven who it is.
+        Longest frame that is accepted; the connection raises it once the
+        peer is authenticated.
     """
 
     def __init__(self, max_bytes):
@@ -25,7 +25,7 @@
         self.buffer = bytearray()
 
     def feed(self, data):
-        """Take bytes in.
+        """Add received bytes to the buffer.
 
         Parameters
         ----------
@@ -34,13 +34,14 @@
         self.buffer += data
 
     def next_frame(self):
-        """Return the next whole frame, or None when it isn't whole yet.
+        """Return the next frame, or None until it is complete.
 
         Raises
         ------
         ProtocolError
-            The length is 0 or above the bound. A garbled length would
-            otherwise make the reader wait for up to 4 GiB that never come.
+            The length is 0 or above the limit. Without the limit, a
+            corrupted length would make the reader wait for up to 4 GiB that
+            never come.
         """
         buffer = self.buffer
         if len(buffer) < PREFIX_BYTES:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/handshake.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/handshake.py
@@ -1,8 +1,9 @@
-"""Who the peer is: hello and proof frames, checked in both directions.
+"""Mutual authentication of the two ends of a link.
 
-Each end sends a nonce in its hello and then an HMAC, keyed with the cluster's
-secret, over both hellos and its own role. The role is covered because an
-attacker without the secret could otherwise send an end's own proof back to it.
+Each end sends a nonce in its hello and then, as proof, an HMAC keyed with the
+cluster's secret over both hellos and its own role. The role is included
+because an attacker without the secret could otherwise reflect an end's proof
+back to it.
 """
 
 import hmac
@@ -20,12 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """What an end says of itself first.
+    """The first frame of each end, by which it introduces itself.
 
     Attributes
     ----------
     protocol : int
+        Version of the link protocol.
     cluster, daemon : str
+        Name of the cluster and of the daemon.
     incarnation : int
     nonce : bytes
     """
@@ -37,7 +40,7 @@
     nonce: bytes
 
     def signed_bytes(self):
-        """Return the fields in a form that no two hellos share."""
+        """Return the fields in an unambiguous encoding, for the HMAC."""
         fields = (
             str(self.protocol).encode(),
             self.cluster.encode(),
@@ -72,7 +75,7 @@
 
 
 class Handshake:
-    """One end of the exchange.
+    """State of the handshake at one end.
 
     Parameters
     ----------
@@ -85,7 +88,7 @@
     def __init__(self, cluster, local, expected):
         self.secret = cluster.secret.encode()
         self.expected = expected
-        self.own = Hello(
+        self.local_hello = Hello(
             PROTOCOL_VERSION,
             cluster.name,
             local.name,
@@ -102,29 +105,41 @@
         ProtocolError
         """
         if self.peer is not None:
-            raise ProtocolError("second hello")
-        if hello.protocol != self.own.protocol:
-            raise ProtocolError(f"protocol version {hello.protocol}")
-        if hello.cluster != self.own.cluster:
-            raise ProtocolError(f"cluster {hello.cluster[:63]!r}")
+            raise ProtocolError("the peer sent a second hello")
+        if hello.protocol != self.local_hello.protocol:
+            raise ProtocolError(
+                f"the peer speaks protocol version {hello.protocol},"
+                f" this daemon {self.local_hello.protocol}"
+            )
+        if hello.cluster != self.local_hello.cluster:
+            raise ProtocolError(
+                f"the peer belongs to cluster {hello.cluster[:63]!r},"
+                f" this daemon to {self.local_hello.cluster!r}"
+            )
         if not 0 < len(hello.daemon) <= 63 or len(hello.nonce) != NONCE_BYTES:
-            raise ProtocolError("malformed hello")
+            raise ProtocolError(
+                f"malformed hello: daemon name of {len(hello.daemon)} characters"
+                f" (1 to 63 allowed), nonce of {len(hello.nonce)} bytes"
+                f" ({NONCE_BYTES} expected)"
+            )
         if self.expected not in (None, hello.daemon):
-            raise ProtocolError(f"{hello.daemon!r} instead of {self.expected!r}")
+            raise ProtocolError(
+                f"the peer is {hello.daemon!r}, expected {self.expected!r}"
+            )
         self.peer = hello
         role = LISTENER if self.expected is None else DIALLER
-        return self.proof(role, self.own, hello)
+        return self.proof(role, self.local_hello, hello)
 
     def accept_proof(self, proof):
         """Check the peer's proof; raises `ProtocolError`."""
         if self.peer is None:
-            raise ProtocolError("proof before hello")
+            raise ProtocolError("the peer sent its proof before its hello")
         role = DIALLER if self.expected is None else LISTENER
-        wanted = self.proof(role, self.peer, self.own)
-        if not hmac.compare_digest(wanted, proof):
-            raise ProtocolError("wrong proof of the cluster's secret")
+        expected = self.proof(role, self.peer, self.local_hello)
+        if not hmac.compare_digest(expected, proof):
+            raise ProtocolError("the peer's proof of the cluster secret is wrong")
 
     def proof(self, role, sender, receiver):
-        """Return the proof of one end towards the other."""
+        """Return the proof that one end sends to the other."""
         text = role + sender.signed_bytes() + receiver.signed_bytes()
         return hmac.digest(self.secret, text, "sha256")
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/incoming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/incoming.py
@@ -1,4 +1,4 @@
-"""Calls and control questions that the peer sends on one link."""
+"""Handles the calls and control requests received on one link."""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,8 +7,8 @@
 from papayabay_core.exceptions import ProtocolError
 from papayabay_daemon._internal.calls.answers import error_answer
 from papayabay_daemon._internal.links.call_frames import decode_call, encode_answer
+from papayabay_daemon._internal.links.clock_offset import now_us
 from papayabay_daemon._internal.links.codec import encode_reply
-from papayabay_daemon._internal.links.lifetime import now_us
 from papayabay_daemon._internal.links.limits import (
     MAX_CALLS_PER_LINK,
     MAX_FRAME_BYTES,
@@ -16,10 +16,10 @@
     MAX_REQUESTS_PER_LINK,
 )
 from papayabay_daemon._internal.links.streams import (
-    BodyInbox,
-    BodyOutlet,
     BodyReader,
-    first_part,
+    BodyReceiver,
+    BodySender,
+    inline_part,
     remaining_parts,
 )
 
@@ -28,7 +28,7 @@
 
 
 def ignore_end(complete):
-    """Do nothing: the call goes on after its body."""
+    """Do nothing when a call's body ends; the call continues."""
 
 
 @dataclass(slots=True)
@@ -38,23 +38,23 @@
     Attributes
     ----------
     task : asyncio.Task
-    inbox : BodyInbox or None
-        The call's streamed body.
-    outlet : BodyOutlet or None
-        Set while the answer's body is streamed.
+        Runs the handler and sends the answer.
+    receiver : BodyReceiver or None
+        Receives the call's body if it is streamed.
+    sender : BodySender or None
+        Sends the answer's body; set while it is streamed.
     """
 
     task: asyncio.Task | None = None
-    inbox: BodyInbox | None = None
-    outlet: BodyOutlet | None = None
+    receiver: BodyReceiver | None = None
+    sender: BodySender | None = None
 
 
 class IncomingCalls:
-    """The answering side of a link.
+    """The calls and control requests in flight that the peer has sent.
 
-    A link is read by its one connection, but the calls on it interleave and
-    end in any order, and a cancel frame has to end just one of them. So each
-    call in flight has a task of its own.
+    Each call has its own task, because calls on a link interleave, end in any
+    order and can be cancelled one by one.
 
     Parameters
     ----------
@@ -77,26 +77,26 @@
         return len(self.calls) + len(self.requests)
 
     def start(self, work):
-        """Return a task of this link; the set keeps it from being freed."""
+        """Start a task; `tasks` references it so that it is not collected."""
         task = self.link.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    def take_number(self, number):
-        """Check that an identifier is new; raises `ProtocolError`."""
+    def register_number(self, number):
+        """Record an identifier; raises `ProtocolError` if it is not new."""
         if number <= self.last_number:
             raise ProtocolError(f"identifier {number} was used before")
         self.last_number = number
 
     def receive_call(self, message):
-        """Start to answer a call; raises `ProtocolError`."""
+        """Start a task for a received call; raises `ProtocolError`."""
         link = self.link
         number = message.id
-        self.take_number(number)
+        self.register_number(number)
         excess = link.offset.observe(now_us(), message.sent_at_us)
         call = decode_call(message, excess)
-        link.note_call()
+        link.record_call()
         link.counters.calls_received += 1
         if len(self.calls) >= MAX_CALLS_PER_LINK:
             error = CallError(ErrorKind.LINK_UNAVAILABLE, "too many calls")
@@ -104,24 +104,24 @@
             return
         entry = IncomingCall()
         if not message.last:
-            entry.inbox = BodyInbox(link, number, False, ignore_end)
-            call.body.rest = BodyReader(entry.inbox)
+            entry.receiver = BodyReceiver(link, number, False, ignore_end)
+            call.body.rest = BodyReader(entry.receiver)
         self.calls[number] = entry
         entry.task = self.start(self.serve(number, entry, call, message.purpose))
 
     async def serve(self, number, entry, call, purpose):
-        """Answer one call."""
+        """Run the handler of one call and send its answer."""
         try:
             answer = await self.run_handler(call, purpose)
             await self.send_answer(number, entry, answer)
         finally:
             self.calls.pop(number, None)
-            if entry.inbox is not None:
-                entry.inbox.fail("the call ended")
-            self.link.call_ended()
+            if entry.receiver is not None:
+                entry.receiver.fail("the call ended")
+            self.link.close_if_drained()
 
     async def run_handler(self, call, purpose):
-        """Return the handler's answer, or the one of its error."""
+        """Return the handler's answer; an exception becomes an answer."""
         run = self.handlers.forward if purpose == FORWARD else self.handlers.run
         try:
             if run is None or purpose not in (RUN, FORWARD):
@@ -130,73 +130,75 @@
         except CallError as error:
             return error_answer(error)
         except Exception:
-            return self.internal_error("A call's handler failed")
+            return self.internal_error(
+                "The handler of a call failed; answering with an internal error"
+            )
 
     def internal_error(self, message):
-        """Count and log a fault of our own; return its answer."""
+        """Count and log an internal error; return the answer for it."""
         self.link.counters.handler_faults += 1
-        self.link.owner.limited_log.warn(message, message, exc_info=True)
+        self.link.owner.rate_limited_log.warn(message, message, exc_info=True)
         return error_answer(CallError(ErrorKind.INTERNAL))
 
     async def send_answer(self, number, entry, answer):
-        """Send an answer and, where it is streamed, its body."""
+        """Send an answer and, if its body is streamed, the body."""
         link = self.link
         if link.paused:
             await link.wait_writable()
-        first, last = first_part(answer.body, self.inline_bytes)
+        first, last = inline_part(answer.body, self.inline_bytes)
         frame = self.encode(number, answer, first, last)
         if frame is None:
-            frame = encode_answer(number, self.unsendable(), b"", True)
+            frame = encode_answer(number, self.encoding_error_answer(), b"", True)
             last = True
         link.send(frame)
         if not last:
-            entry.outlet = BodyOutlet(link, number, of_answer=True)
-            await entry.outlet.pump(remaining_parts(answer.body, len(first)))
+            entry.sender = BodySender(link, number, of_answer=True)
+            await entry.sender.send_all(remaining_parts(answer.body, len(first)))
 
     def encode(self, number, answer, first, last):
-        """Return an answer's frame, or None for one that has no frame."""
+        """Return an answer's frame, or None if it can't be encoded."""
         try:
             confirmation = self.link.owner.confirmations.own_confirmation()
             frame = encode_answer(number, answer, first, last, confirmation)
         except Exception:
-            # Whatever a handler put into its answer, the caller must get
-            # an end; a call without one would hang until its lifetime ends.
-            message = "An answer can't be encoded"
-            self.link.owner.limited_log.warn(message, message, exc_info=True)
+            # The caller must get an answer even if the handler's can't be
+            # encoded; otherwise the call would hang until its deadline.
+            message = "An answer can't be encoded; sending an internal error"
+            self.link.owner.rate_limited_log.warn(message, message, exc_info=True)
             return None
         return frame if len(frame) <= MAX_FRAME_BYTES else None
 
-    def unsendable(self):
-        """Return the answer in place of one that can't be sent."""
+    def encoding_error_answer(self):
+        """Count a handler fault; return the answer that reports it."""
         self.link.counters.handler_faults += 1
         return error_answer(CallError(ErrorKind.INTERNAL, "unsendable answer"))
 
     def receive_part(self, message):
-        """Take a part of a call's body in."""
+        """Pass a part of a call's body to its receiver."""
         entry = self.calls.get(message.id)
-        if entry is None or entry.inbox is None:
+        if entry is None or entry.receiver is None:
             self.link.counters.late_parts += 1
-        elif entry.inbox.fault is None:
-            entry.inbox.receive(message)
+        elif entry.receiver.fault is None:
+            entry.receiver.receive(message)
 
     def receive_window(self, message):
-        """Let an answer's body go on."""
+        """Extend the window of an answer's body."""
         entry = self.calls.get(message.id)
-        if entry is not None and entry.outlet is not None:
-            entry.outlet.grant(message.bytes)
+        if entry is not None and entry.sender is not None:
+            entry.sender.grant(message.bytes)
 
     def receive_cancel(self, number):
-        """Cancel a call's handler, once."""
+        """Cancel a call's handler; a second cancel frame has no effect."""
         entry = self.calls.pop(number, None)
         if entry is not None:
             self.link.counters.calls_cancelled += 1
             entry.task.cancel()
-            self.link.call_ended()
+            self.link.close_if_drained()
 
     def receive_request(self, message):
-        """Start to answer a control question."""
+        """Start a task for a control request; raises `ProtocolError`."""
         number = message.id
-        self.take_number(number)
+        self.register_number(number)
         if len(self.requests) >= MAX_REQUESTS_PER_LINK:
             self.link.send(encode_reply(number, False, b"too many questions"))
             return
@@ -204,7 +206,7 @@
         self.start(self.reply(number, message.topic, message.payload))
 
     async def reply(self, number, topic, payload):
-        """Answer one control question."""
+        """Run the handler of a control request and send its reply."""
         ok = False
         try:
             handler = self.handlers.topics.get(topic)
@@ -216,19 +218,21 @@
                 answer = answer if ok else b"reply too large"
         except Exception as error:
             self.link.counters.handler_faults += 1
-            message = "Control request {} failed"
-            self.link.owner.limited_log.warn(message, message, topic, exc_info=True)
+            message = "The handler of control topic {!r} failed; replying with an error"
+            self.link.owner.rate_limited_log.warn(
+                message, message, topic, exc_info=True
+            )
             answer = type(error).__name__.encode()
         finally:
             self.requests.discard(number)
-            self.link.call_ended()
+            self.link.close_if_drained()
         self.link.send(encode_reply(number, ok, answer))
 
-    def lost(self):
-        """Cancel everything: whoever asked can't be answered any more."""
+    def cancel_all(self):
+        """Cancel all handlers when the link is closed."""
         for entry in self.calls.values():
-            if entry.inbox is not None:
-                entry.inbox.fail("the link was lost")
+            if entry.receiver is not None:
+                entry.receiver.fail("the link was lost")
         self.calls.clear()
         for task in list(self.tasks):
             if not task.cancelling():
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/link.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/link.py
@@ -1,7 +1,8 @@
-"""One link to another daemon: its calls, its heartbeats and its end."""
+"""One link to another daemon: calls, heartbeats and retirement."""
 
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.links.call_frames import AnswerFrame, CallFrame
+from papayabay_daemon._internal.links.clock_offset import ClockOffset, now_us
 from papayabay_daemon._internal.links.codec import (
     encode_leaving,
     encode_number,
@@ -9,12 +10,11 @@
 )
 from papayabay_daemon._internal.links.connection import Connection
 from papayabay_daemon._internal.links.incoming import IncomingCalls
-from papayabay_daemon._internal.links.lifetime import ClockOffset, now_us
 from papayabay_daemon._internal.links.limits import (
     ACCEPTED_GRACE_SECONDS,
     CALLER_SECONDS,
     IDLE_SECONDS,
-    QUIET_SECONDS,
+    KEEPALIVE_SECONDS,
     RARE_STAMP_SECONDS,
     STAMP_SECONDS,
 )
@@ -22,13 +22,36 @@
 
 
 class Link(Connection):
-    """A connection and what is in flight on it, in both directions.
+    """A connection with its calls in flight in both directions.
 
     Parameters
     ----------
     owner : PeerLinks
     expected : str or None
-        Name of the daemon that is dialled; None for one that dialled us.
+        Name of the daemon that is dialled; None for an accepted connection.
+
+    Attributes
+    ----------
+    retired : bool
+        Whether this end sends no new calls.
+    unresponsive : bool
+        Whether new calls should go to other peers for now.
+    member : Member or None
+        The peer as of the last call to it.
+    last_call : float
+        When a call was last sent or received, on the loop's clock.
+    stamped : bool
+        Whether a call with a clock stamp was sent since the last check.
+    last_stamp : float
+        When a stamp was last sent, as far as the checks know.
+    caller_until : float
+        Until when this end counts as one that sends calls.
+    pending_ping_us : int or None
+        Stamp of the heartbeat that was not answered yet.
+    expecting_since : float
+        When the peer last had nothing to answer.
+    heartbeats_ended : asyncio.Future or None
+        Done when the link is no longer checked for liveness.
     """
 
     def __init__(self, owner, expected=None):
@@ -38,16 +61,16 @@
         self.incoming = IncomingCalls(self, owner.handlers, inline_bytes)
         self.offset = ClockOffset()
         self.retired = False
-        self.doubted = False
+        self.unresponsive = False
         self.member = None
         self.last_call = self.loop.time()
         self.stamped = False
-        self.stamped_at = self.last_heard
-        self.calling_until = self.last_heard
-        self.ping_us = None
+        self.last_stamp = self.last_received
+        self.caller_until = self.last_received
+        self.pending_ping_us = None
         self.round_trip_ms = None
-        self.heart = None
-        self.clear_at = self.last_heard
+        self.heartbeats_ended = None
+        self.expecting_since = self.last_received
         self.receivers = {
             CallFrame: self.incoming.receive_call,
             AnswerFrame: self.outgoing.receive_answer,
@@ -62,181 +85,185 @@
             "retire": self.receive_retire,
         }
 
-    def begin(self):
-        """Show our clock, and watch for silence from now on."""
+    def on_opened(self):
+        """Send the first clock stamp and start the liveness checks."""
         self.send_ping()
-        self.clear_at = now()
-        self.heart = self.loop.create_future()
-        self.owner.beats.add(self)
+        self.expecting_since = now()
+        self.heartbeats_ended = self.loop.create_future()
+        self.owner.heartbeats.add(self)
 
-    def end(self, reason):
-        """End the heartbeat; answer all calls in flight.
+    def on_closed(self, reason):
+        """Stop the liveness checks and fail all calls in flight.
 
-        A doubt outlasts its link: see `PeerLinks.seek`.
+        An unresponsive peer stays marked as such; see `Dialler.reconnect`.
         """
-        if self.heart is not None:
-            self.heart.cancel()
-        self.outgoing.lost(reason)
-        self.incoming.lost()
+        if self.heartbeats_ended is not None:
+            self.heartbeats_ended.cancel()
+        self.outgoing.fail_all(reason)
+        self.incoming.cancel_all()
 
-    # Frames that concern the link itself or both directions.
+    # Frames of the link itself or of both directions.
 
     def receive_part(self, message):
-        """Take a part of a body in."""
+        """Pass on a part of a body."""
         side = self.outgoing if message.ofAnswer else self.incoming
         side.receive_part(message)
 
     def receive_window(self, message):
-        """Let a body go on."""
+        """Extend the window of a body."""
         side = self.incoming if message.ofAnswer else self.outgoing
         side.receive_window(message)
 
     def receive_ping(self, stamp_us):
-        """Answer a heartbeat, whose content is the sender's clock."""
+        """Answer a heartbeat, which contains the sender's clock."""
         self.offset.observe(now_us(), stamp_us)
         self.send(encode_number("pong", stamp_us))
 
     def receive_pong(self, stamp_us):
-        """Measure the round trip of our own heartbeat."""
-        if stamp_us == self.ping_us:
+        """Measure the round trip of a heartbeat that this end sent."""
+        if stamp_us == self.pending_ping_us:
             self.round_trip_ms = (now_us() - stamp_us) / 1000
-            self.ping_us = None
+            self.pending_ping_us = None
 
     def receive_leaving(self, message):
-        """Pass on that the peer takes no new work."""
-        self.owner.peer_leaving(self.peer_name)
+        """Report that the peer is leaving."""
+        self.owner.notify_leaving(self.peer_name)
 
     def receive_retire(self, message):
-        """Stop using a link that the peer wants to close."""
+        """Retire a link that the peer has retired."""
         self.peer_retired = True
         self.retire()
-        self.call_ended()
+        self.close_if_drained()
 
     def send_leaving(self):
-        """Tell the peer that this daemon takes no new work."""
+        """Tell the peer that this daemon is leaving."""
         self.send(encode_leaving())
 
     def retire(self):
-        """Take no new calls; close when nothing is in flight.
+        """Send no new calls; the link closes when nothing is in flight.
 
-        Closing at once could cut off a call that the peer just sent, which
-        its caller would have to take for `unknown`. Frames keep their order,
-        so after both ends said that they send no more calls, none is on the
-        way.
+        Closing at once could lose a call that the peer has just sent, whose
+        effect would then be `unknown` to its caller. Frames arrive in order,
+        so no call is in transit once both ends have sent a retire frame.
         """
         if not self.retired and not self.closed:
             self.retired = True
             self.owner.link_retired(self)
             self.send(encode_retire())
 
-    def note_call(self, stamped=False):
-        """Note that the link is in use."""
+    def record_call(self, stamped=False):
+        """Record a call that was sent, with a clock stamp, or received."""
         self.last_call = self.loop.time()
         if stamped:
             self.stamped = True
 
-    def call_ended(self):
-        """Close a retired link with its last call."""
+    def close_if_drained(self):
+        """Close a link that both ends retired once nothing is in flight."""
         if self.retired and self.peer_retired and not self.in_flight:
             self.close()
 
     @property
     def in_flight(self):
-        """Calls and questions that haven't ended, in both directions."""
+        """Number of calls and control requests in both directions."""
         return len(self.outgoing) + len(self.incoming)
 
     # Heartbeats.
 
     def send_ping(self):
-        """Send a heartbeat with our clock in it."""
-        self.ping_us = now_us()
-        self.send(encode_number("ping", self.ping_us))
+        """Send a heartbeat with this end's clock."""
+        self.pending_ping_us = now_us()
+        self.send(encode_number("ping", self.pending_ping_us))
 
-    def beat(self, watch, moment):
-        """Find out, once per heartbeat period, that the link went silent.
+    def check_liveness(self, detector, moment):
+        """Check the peer's liveness; called once per heartbeat period.
 
-        A middlebox can forget a connection, or a cable be cut: writes go on
-        to succeed, nothing comes back, and TCP tells of it after minutes.
-        Calls would hang that long. Heartbeats make sure that something is
-        owed whenever nothing was heard, and so silence means loss.
+        A middlebox can drop the state of a connection, or a cable can be cut:
+        writes still succeed, nothing is received, and TCP reports the loss
+        only after minutes. Calls would hang that long. A heartbeat is sent
+        whenever nothing was received for a while, so that the peer has
+        something to answer and silence means that the link is lost.
 
         Parameters
         ----------
-        watch : SilenceWatch
+        detector : LivenessDetector
         moment : float
             Now, the same for all links.
         """
-        if not self.is_owed():
-            self.clear_at = moment
-        heard_at = max(self.last_heard, self.clear_at)
-        if watch.is_silent(moment, heard_at):
+        if not self.expects_answer():
+            self.expecting_since = moment
+        last_alive = max(self.last_received, self.expecting_since)
+        if detector.has_timed_out(moment, last_alive):
             self.counters.links_silent += 1
-            self.owner.limited_log.warn(
-                "silent", "Link with {} went silent", self.peer_name
+            self.owner.rate_limited_log.warn(
+                "silent",
+                "Peer {!r} did not answer within the silence limit; closing the link",
+                self.peer_name,
             )
-            self.lose("the link went silent")
+            self.abort("the link went silent")
             return
-        # After a pause of this process nothing is known anew. Taken back, a
-        # doubt would send calls to a dark machine until the next beat.
-        if not watch.is_late:
-            self.set_doubt(watch.is_doubtful(moment, heard_at))
-        quiet = moment - self.last_heard
-        if self.stamp_due(moment) or quiet >= self.patience(watch):
+        # A check that is late because this process paused shows nothing about
+        # the peer. Clearing the state then would send calls to a machine that
+        # is down until the next check.
+        if not detector.is_delayed:
+            self.set_unresponsive(detector.is_unresponsive(moment, last_alive))
+        quiet = moment - self.last_received
+        if self.stamp_due(moment) or quiet >= self.heartbeat_interval(detector):
             self.send_ping()
-            self.stamped_at = moment
+            self.last_stamp = moment
         if self.dialled and self.idle():
             self.counters.links_idle += not self.retired
             self.retire()
 
     def data_received(self, data):
-        """Take bytes in; whatever they are, the peer is there."""
-        self.set_doubt(False)
+        """Handle received data; any data shows that the peer responds."""
+        self.set_unresponsive(False)
         super().data_received(data)
 
-    def set_doubt(self, doubted):
-        """Tell, on a change, whether new calls had better not go here."""
-        if doubted != self.doubted:
-            self.doubted = doubted
-            self.owner.peer_doubted(self.peer_name, doubted)
+    def set_unresponsive(self, unresponsive):
+        """Set whether the peer is unresponsive; report a change."""
+        if unresponsive != self.unresponsive:
+            self.unresponsive = unresponsive
+            self.owner.notify_unresponsive(self.peer_name, unresponsive)
 
-    def is_owed(self):
-        """Whether the peer has to answer something."""
-        return self.ping_us is not None or len(self.outgoing) > 0
+    def expects_answer(self):
+        """Return whether the peer has a heartbeat or a call to answer."""
+        return self.pending_ping_us is not None or len(self.outgoing) > 0
 
-    def patience(self, watch):
-        """Return for how many seconds nothing need be heard.
+    def heartbeat_interval(self, detector):
+        """Return the seconds without received data before a heartbeat is due.
 
-        A daemon has a hundred links and few calls on each. Heartbeats on
-        all of them, twice a second, would take forty times the traffic that
-        control may use; so they are only sent while they decide something.
+        A daemon has about a hundred links with few calls on each. Heartbeats
+        twice a second on all of them would take forty times the traffic
+        allowed for control, so idle links send them rarely.
         """
-        if self.is_owed():
-            return min(watch.doubt, watch.bound) / 2
+        if self.expects_answer():
+            return min(detector.unresponsive_after, detector.timeout) / 2
         if len(self.incoming):
-            return watch.bound
-        return QUIET_SECONDS + (0 if self.dialled else ACCEPTED_GRACE_SECONDS)
+            return detector.timeout
+        return KEEPALIVE_SECONDS + (0 if self.dialled else ACCEPTED_GRACE_SECONDS)
 
     def stamp_due(self, moment):
-        """Return whether the peer has to see our clock again.
+        """Return whether to send the peer another stamp of this end's clock.
 
-        It uses it to judge how long our calls were on their way. Calls carry
-        stamps themselves, and most links carry calls in one direction only.
+        The peer uses stamps to estimate how long calls of this end were
+        delayed. Calls contain stamps themselves, and on most links only one
+        end sends calls, so the other end sends its stamps rarely.
         """
         if self.stamped:
             self.stamped = False
-            self.stamped_at = moment
-            self.calling_until = moment + CALLER_SECONDS
-        calling = moment < self.calling_until
+            self.last_stamp = moment
+            self.caller_until = moment + CALLER_SECONDS
+        calling = moment < self.caller_until
         pause = STAMP_SECONDS if calling else RARE_STAMP_SECONDS
-        return moment - self.stamped_at >= pause
+        return moment - self.last_stamp >= pause
 
     def idle(self):
-        """Whether the link has had no use for long."""
+        """Return whether the link was unused for `IDLE_SECONDS`."""
         unused = self.loop.time() - self.last_call
         return unused > IDLE_SECONDS and not self.in_flight
 
     def status(self):
-        """Return what the status door shows of this link."""
+        """Return the link's entry on the status page."""
         offset = self.offset.smallest
         return {
             "peer": self.peer_name,
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/outgoing.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/outgoing.py
@@ -1,4 +1,4 @@
-"""Calls and control questions that this daemon sends on one link."""
+"""Sends calls and control requests on one link and awaits their answers."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,55 +8,56 @@
 from papayabay_core.exceptions import ProtocolError
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.links.call_frames import decode_answer, encode_call
+from papayabay_daemon._internal.links.clock_offset import now_us
 from papayabay_daemon._internal.links.codec import encode_number, encode_request
-from papayabay_daemon._internal.links.lifetime import now_us
 from papayabay_daemon._internal.links.limits import (
     MAX_CALLS_PER_LINK,
     MAX_FRAME_BYTES,
     WRITE_WAIT_SECONDS,
 )
 from papayabay_daemon._internal.links.streams import (
-    BodyInbox,
-    BodyOutlet,
     BodyReader,
-    first_part,
+    BodyReceiver,
+    BodySender,
+    inline_part,
     remaining_parts,
 )
 
 
 def unavailable(detail):
-    """Return the error of a call of which nothing was sent."""
+    """Return the error of a call that was not sent."""
     return CallError(ErrorKind.LINK_UNAVAILABLE, detail)
 
 
 @dataclass(slots=True)
 class OutgoingCall:
-    """A call that was sent and hasn't ended.
+    """A call that was sent and is still in flight.
 
     Attributes
     ----------
     sent_at : float
         On `clock.now()`.
-    answered : asyncio.Future or None
-        None once the answer came: a reference from here would keep an
-        answer that its caller dropped, and its body's sender, alive.
-    outlet : BodyOutlet or None
-        Set while the call's body is streamed.
-    pump : asyncio.Task or None
-        Sends that body.
-    inbox : BodyInbox or None
-        Set once the answer came and its body is streamed.
+    future : asyncio.Future or None
+        Result of the call; None once the answer was received. A reference
+        from here would keep alive an answer that its caller has dropped,
+        and with it the sender of its body.
+    sender : BodySender or None
+        Sends the call's body; set while it is streamed.
+    send_task : asyncio.Task or None
+        Runs `sender`.
+    receiver : BodyReceiver or None
+        Receives the answer's body if it is streamed.
     """
 
     sent_at: float
-    answered: asyncio.Future | None
-    outlet: BodyOutlet | None = None
-    pump: asyncio.Task | None = None
-    inbox: BodyInbox | None = None
+    future: asyncio.Future | None
+    sender: BodySender | None = None
+    send_task: asyncio.Task | None = None
+    receiver: BodyReceiver | None = None
 
 
 class OutgoingCalls:
-    """The calling side of a link.
+    """The calls and control requests in flight that this daemon has sent.
 
     Parameters
     ----------
@@ -76,7 +77,7 @@
         return len(self.calls) + len(self.requests)
 
     def next_number(self):
-        """Return an identifier that this link has not used yet."""
+        """Return an identifier that was not used on this link before."""
         self.last_number += 1
         return self.last_number
 
@@ -90,31 +91,31 @@
         if call.remaining() <= 0:
             raise CallError(ErrorKind.EXPIRED_UNSENT)
         number = self.next_number()
-        first, last = first_part(call.body, self.inline_bytes)
+        first, last = inline_part(call.body, self.inline_bytes)
         frame = encode_call(number, call, first, last, now_us(), purpose)
         if len(frame) > MAX_FRAME_BYTES:
             raise CallError(ErrorKind.HEADERS_TOO_LARGE)
         if not link.send(frame):
             raise unavailable("the link was closing")
-        answered = link.loop.create_future()
-        entry = OutgoingCall(now(), answered)
+        future = link.loop.create_future()
+        entry = OutgoingCall(now(), future)
         self.calls[number] = entry
-        link.note_call(stamped=True)
+        link.record_call(stamped=True)
         link.counters.calls_sent += 1
         if not last:
-            self.start_pump(number, entry, call.body, len(first))
+            self.start_sending(number, entry, call.body, len(first))
         try:
-            return await answered
+            return await future
         except asyncio.CancelledError:
             self.cancel(number)
             raise
 
     async def wait_to_send(self):
-        """Wait for a full socket, but not for long.
+        """Wait up to `WRITE_WAIT_SECONDS` for the write buffer to drain.
 
-        A peer that stopped reading leaves the socket full until the link is
-        found silent. A call that waited so long would use up its life here,
-        while nothing of it was sent and another upstream could have run it.
+        If the peer has stopped reading, the buffer stays full until the link
+        times out. A call that waited so long would use up its lifetime
+        unsent, while another upstream could have run it.
         """
         try:
             async with asyncio.timeout(WRITE_WAIT_SECONDS):
@@ -122,118 +123,121 @@
         except TimeoutError:
             raise unavailable("the link does not take more data") from None
 
-    def start_pump(self, number, entry, body, start):
-        """Stream what the call's own frame left out of its body."""
-        entry.outlet = BodyOutlet(self.link, number, of_answer=False)
+    def start_sending(self, number, entry, body, start):
+        """Start to stream the part of a body that its frame left out."""
+        entry.sender = BodySender(self.link, number, of_answer=False)
         parts = remaining_parts(body, start)
-        entry.pump = self.link.loop.create_task(entry.outlet.pump(parts))
+        entry.send_task = self.link.loop.create_task(entry.sender.send_all(parts))
 
     def cancel(self, number):
-        """End a call that nobody waits for any more."""
+        """Cancel a call that its caller no longer awaits."""
         entry = self.calls.get(number)
         if entry is None:
             return
-        if entry.inbox is not None:
-            entry.inbox.fail("the call was cancelled")
+        if entry.receiver is not None:
+            entry.receiver.fail("the call was cancelled")
             return
         self.release(number)
         self.link.send(encode_number("cancel", number))
 
     def release(self, number):
-        """Forget a call; stops the sending of its body."""
+        """Remove a call and stop sending its body."""
         entry = self.calls.pop(number, None)
-        if entry is not None and entry.pump is not None:
-            entry.pump.cancel()
-        self.link.call_ended()
+        if entry is not None and entry.send_task is not None:
+            entry.send_task.cancel()
+        self.link.close_if_drained()
 
     def receive_answer(self, message):
-        """Hand an answer to its own call; raises `ProtocolError`."""
+        """Resolve the call that an answer is for; raises `ProtocolError`."""
         number = message.id
         entry = self.calls.get(number)
-        answered = entry.answered if entry is not None else None
-        if entry is None or (answered is not None and answered.cancelled()):
-            # The call was cancelled while its answer was on the way. Its
-            # identifier is never used again, so the answer can't reach
-            # another call; it is counted and dropped.
+        future = entry.future if entry is not None else None
+        if entry is None or (future is not None and future.cancelled()):
+            # The call was cancelled while its answer was in transit.
+            # Identifiers are never reused, so the answer can't be taken for
+            # another call's; it is counted and dropped.
             if number > self.last_number:
                 raise ProtocolError(f"answer to call {number} that was never sent")
             self.link.counters.late_answers += 1
             return
-        if answered is None or answered.done():
+        if future is None or future.done():
             raise ProtocolError(f"second answer to call {number}")
         answer = decode_answer(message)
-        self.take_confirmation(message, entry.sent_at)
+        self.record_confirmation(message, entry.sent_at)
         if message.last:
             self.release(number)
         else:
             on_end = partial(self.answer_body_ended, number)
-            entry.inbox = BodyInbox(self.link, number, True, on_end)
-            answer.body.rest = BodyReader(entry.inbox)
-        entry.answered = None
-        answered.set_result(answer)
+            entry.receiver = BodyReceiver(self.link, number, True, on_end)
+            answer.body.rest = BodyReader(entry.receiver)
+        entry.future = None
+        future.set_result(answer)
 
-    def take_confirmation(self, message, asked_at):
-        """Take over what the peer knows of its configuration's age."""
+    def record_confirmation(self, message, sent_at):
+        """Record how recently the peer's configuration was confirmed."""
         age_ms = message.confirmed_age_ms
         if age_ms is not None:
             confirmations = self.link.owner.confirmations
-            confirmations.peer_confirmed(message.confirmed_version, age_ms, asked_at)
+            confirmations.peer_confirmed(message.confirmed_version, age_ms, sent_at)
 
     def answer_body_ended(self, number, complete):
-        """End a call with its answer's body, read whole or given up."""
+        """Release a call whose answer's body was read or discarded.
+
+        A body that was not read to its end is cancelled at the peer.
+        """
         self.release(number)
         if not complete:
             self.link.send(encode_number("cancel", number))
 
     def receive_part(self, message):
-        """Take a part of an answer's body in."""
+        """Pass a part of an answer's body to its receiver."""
         entry = self.calls.get(message.id)
-        if entry is None or entry.inbox is None:
+        if entry is None or entry.receiver is None:
             self.link.counters.late_parts += 1
         else:
-            entry.inbox.receive(message)
+            entry.receiver.receive(message)
 
     def receive_window(self, message):
-        """Let a call's body go on."""
+        """Extend the window of a call's body."""
         entry = self.calls.get(message.id)
-        if entry is not None and entry.outlet is not None:
-            entry.outlet.grant(message.bytes)
+        if entry is not None and entry.sender is not None:
+            entry.sender.grant(message.bytes)
 
     async def request(self, topic, payload, timeout):
-        """Ask a control question; see `Links.request`."""
+        """Send a control request and return the reply; see `Links.request`."""
         number = self.next_number()
-        answered = self.link.loop.create_future()
+        future = self.link.loop.create_future()
         if not self.link.send(encode_request(number, topic, payload)):
             raise ProtocolError("the link was closing")
-        self.requests[number] = answered
+        self.requests[number] = future
         try:
             async with asyncio.timeout(timeout):
-                return await answered
+                return await future
         finally:
             del self.requests[number]
-            self.link.call_ended()
+            self.link.close_if_drained()
 
     def receive_reply(self, message):
-        """Hand a reply to the question it answers."""
-        answered = self.requests.get(message.id)
-        if answered is None or answered.done():
+        """Resolve the control request that a reply is for."""
+        future = self.requests.get(message.id)
+        if future is None or future.done():
             self.link.counters.late_answers += 1
         elif message.ok:
-            answered.set_result(message.payload)
+            future.set_result(message.payload)
         else:
             detail = message.payload.decode("utf-8", "replace")[:200]
-            answered.set_exception(ProtocolError(f"the peer refused: {detail}"))
+            future.set_exception(ProtocolError(f"the peer refused: {detail}"))
 
-    def lost(self, reason):
-        """Answer everything that waits after the link was lost."""
+    def fail_all(self, reason):
+        """Fail all calls and control requests when the link is closed."""
         for number, entry in list(self.calls.items()):
-            answered = entry.answered
-            if answered is not None and not answered.done():
-                answered.set_exception(CallError(ErrorKind.LINK_LOST, reason))
+            future = entry.future
+            if future is not None and not future.done():
+                future.set_exception(CallError(ErrorKind.LINK_LOST, reason))
                 self.link.counters.calls_lost += 1
-            if entry.inbox is not None:
-                entry.inbox.fail(reason)
+            if entry.receiver is not None:
+                entry.receiver.fail(reason)
             self.release(number)
-        for answered in self.requests.values():
-            if not answered.done():
-                answered.set_exception(ProtocolError(f"link lost: {reason}"))
+        for future in self.requests.values():
+            if not future.done():
+                future.set_exception(ProtocolError(f"link lost: {reason}"))
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/peers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/peers.py
@@ -1,4 +1,4 @@
-"""The links of one daemon to all others."""
+"""Manages the links of a daemon to its peers."""
 
 import asyncio
 import random
@@ -9,16 +9,16 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.exceptions import ProtocolError
 from papayabay_daemon._internal.interfaces import CallHandler, RequestHandler
-from papayabay_daemon._internal.links.beating import Beats
-from papayabay_daemon._internal.links.counters import LimitedLog, LinkCounters
-from papayabay_daemon._internal.links.dialling import Dialler, Peer
+from papayabay_daemon._internal.links.counters import LinkCounters, RateLimitedLog
+from papayabay_daemon._internal.links.dialling import Dialler, PeerEntry
+from papayabay_daemon._internal.links.heartbeats import HeartbeatLoop
 from papayabay_daemon._internal.links.incoming import FORWARD, RUN
 from papayabay_daemon._internal.links.limits import (
     CLOSE_SECONDS,
     MAX_LINKS_PER_PEER,
     MAX_PAYLOAD_BYTES,
     MAX_PEERS,
-    MAX_UNPROVEN_LINKS,
+    MAX_UNAUTHENTICATED_LINKS,
 )
 from papayabay_daemon._internal.links.link import Link
 
@@ -27,7 +27,15 @@
 
 @dataclass(slots=True)
 class Handlers:
-    """What takes calls and control questions of peers."""
+    """Handlers of the peers' calls and control requests.
+
+    Attributes
+    ----------
+    run, forward : CallHandler or None
+        Of calls to run and of calls forwarded to the home of their key.
+    topics : dict of str to RequestHandler
+        Of control requests, by topic.
+    """
 
     run: CallHandler | None = None
     forward: CallHandler | None = None
@@ -35,7 +43,7 @@
 
 
 class NoConfirmations:
-    """The `Confirmations` of a daemon that passes none on."""
+    """The `Confirmations` of a daemon that neither sends nor records any."""
 
     def own_confirmation(self):
         """Return None."""
@@ -52,9 +60,17 @@
     ----------
     settings : DaemonSettings
     local : Member
-        This daemon; `start` fills its `link_port` in when that is 0.
+        This daemon; `start` sets its `link_port` if that is 0.
     rng : random.Random or None
-        Source of the jitter.
+        Source of the backoff's jitter.
+
+    Attributes
+    ----------
+    peers : dict of str to PeerEntry
+    all_links : set of Link
+        All connections, also those whose handshake is not complete.
+    unauthenticated : int
+        Accepted connections whose handshake is not complete.
     """
 
     def __init__(self, settings, local, rng=None):
@@ -62,20 +78,20 @@
         self.local = local
         self.dialler = Dialler(self, rng or random.Random())
         self.counters = LinkCounters()
-        self.limited_log = LimitedLog(log)
+        self.rate_limited_log = RateLimitedLog(log)
         self.confirmations = NoConfirmations()
         self.handlers = Handlers()
         self.peers = {}
         self.all_links = set()
-        self.beats = Beats(settings.timing)
-        self.unproven = 0
+        self.heartbeats = HeartbeatLoop(settings.timing)
+        self.unauthenticated = 0
         self.leaving_callbacks = []
-        self.doubt_callbacks = []
+        self.unresponsive_callbacks = []
         self.server = None
         self.closing = False
 
     async def start(self):
-        """Listen for other daemons."""
+        """Listen for links of other daemons."""
         loop = asyncio.get_running_loop()
         vm = self.settings.vm
         port = self.local.link_port or vm.link_port
@@ -83,37 +99,37 @@
         self.local.link_port = self.server.sockets[0].getsockname()[1]
 
     async def close(self):
-        """Stop listening and close all links; calls on them are lost."""
+        """Stop listening and close all links; calls in flight fail."""
         self.closing = True
         if self.server is not None:
             self.server.close()
         known = self.peers.values()
         dials = [peer.dialling for peer in known if peer.dialling]
-        dials += [peer.seeking for peer in known if peer.seeking]
+        dials += [peer.reconnecting for peer in known if peer.reconnecting]
         for dial in dials:
             dial.cancel()
         tasks = [task for link in self.all_links for task in link.incoming.tasks]
         for link in list(self.all_links):
             link.close()
-        self.beats.close()
+        self.heartbeats.close()
         if dials or tasks:
             await asyncio.wait([*dials, *tasks], timeout=CLOSE_SECONDS)
 
     def handle_calls(self, run, forward):
-        """Set what takes incoming calls and forwarded calls."""
+        """Set the handlers of incoming calls and of forwarded calls."""
         self.handlers.run = run
         self.handlers.forward = forward
 
     def handle_requests(self, topic, handler):
-        """Set what answers one topic of control requests."""
+        """Set the handler of one topic of control requests."""
         self.handlers.topics[topic] = handler
 
     def on_leaving(self, callback):
-        """Call back with a peer's name when it says that it is leaving."""
+        """Add a callback that gets the name of a peer that is leaving."""
         self.leaving_callbacks.append(callback)
 
     async def announce_leaving(self):
-        """Tell all peers that this daemon takes no new work."""
+        """Tell all peers that this daemon is leaving."""
         for link in list(self.all_links):
             if link.is_open:
                 link.send_leaving()
@@ -123,11 +139,11 @@
         return await self.send(peer, call, RUN)
 
     async def forward(self, peer, call):
-        """Send a call to the home of its key; see `Links.call`."""
+        """Send a call to the home of its key; see `Links.forward`."""
         return await self.send(peer, call, FORWARD)
 
     async def send(self, peer, call, purpose):
-        """Send a call on a link, a new one if need be; count it if none."""
+        """Send a call on the newest link; dial one if there is none."""
         try:
             link = self.live_link(peer.name) or await self.dialler.dial(peer)
             link.member = peer
@@ -138,7 +154,7 @@
             raise
 
     async def request(self, peer, topic, payload, timeout):
-        """Ask a control question.
+        """Send a control request and return the peer's reply.
 
         Parameters
         ----------
@@ -147,12 +163,12 @@
         payload : bytes
             At most `MAX_PAYLOAD_BYTES`.
         timeout : float
-            Seconds, without the time to dial.
+            Seconds to wait for the reply; dialling is not included.
 
         Raises
         ------
         ProtocolError
-            The peer refused, or there is no link to it.
+            The peer replied with an error, or there is no link to it.
         TimeoutError
         """
         if len(payload) > MAX_PAYLOAD_BYTES:
@@ -164,54 +180,58 @@
         return await link.outgoing.request(topic, payload, timeout)
 
     def live_link(self, name):
-        """Return the newest link that takes calls, or None."""
+        """Return a peer's newest link that is not retired, or None."""
         peer = self.peers.get(name)
         return peer.links[-1] if peer is not None and peer.links else None
 
-    def peer_of(self, name):
-        """Return a peer's entry, made when first needed."""
+    def entry_of(self, name):
+        """Return a peer's entry; create it if needed."""
         peer = self.peers.get(name)
         if peer is None:
             if len(self.peers) >= MAX_PEERS:
-                kept = self.peers.items()
-                self.peers = {key: old for key, old in kept if not old.unused}
-            peer = self.peers[name] = Peer()
+                entries = self.peers.items()
+                self.peers = {
+                    key: entry for key, entry in entries if not entry.is_disposable
+                }
+            peer = self.peers[name] = PeerEntry()
         return peer
 
-    # What links report.
+    # Called by links.
 
-    def link_made(self, link):
-        """Note a connection; False when there are too many unproven ones.
+    def accept_link(self, link):
+        """Register a connection; return False if there are too many.
 
-        Anyone who reaches the port can connect. Without a bound, connections
-        that never introduce themselves would use up the file descriptors.
+        Anyone who reaches the port can connect. Without a limit, connections
+        that never authenticate would use up the file descriptors.
         """
-        if self.closing or (not link.dialled and self.unproven >= MAX_UNPROVEN_LINKS):
+        if self.closing or (
+            not link.dialled and self.unauthenticated >= MAX_UNAUTHENTICATED_LINKS
+        ):
             return False
-        self.unproven += not link.dialled
+        self.unauthenticated += not link.dialled
         self.all_links.add(link)
         return True
 
     def link_opened(self, link):
-        """Use a link whose peer has proven who it is."""
-        self.unproven -= not link.dialled
+        """Use a link whose peer is authenticated."""
+        self.unauthenticated -= not link.dialled
         self.counters.links_opened += 1
-        peer = self.peer_of(link.peer_name)
+        peer = self.entry_of(link.peer_name)
         newest = max((old.incarnation for old in peer.links), default=0)
         if link.incarnation < newest:
-            # A connection that an earlier process of the peer began. Calls
-            # sent on it would be lost with that process.
-            link.refuse("an incarnation that was replaced")
+            # A connection of an earlier process of the peer. Calls sent on it
+            # would be lost with that process.
+            link.reject(f"incarnation {link.incarnation} is older than {newest}")
             return
         self.replace_links(peer, link)
         peer.links.append(link)
 
     def replace_links(self, peer, link):
-        """Retire links of older incarnations, and the oldest of too many.
+        """Retire links of older incarnations, or the oldest of too many.
 
-        They are not dropped: an incarnation also grows without a restart,
-        and then calls on the older link still get their answers. If the
-        older process is gone, the heartbeat ends the link.
+        They are not closed at once: an incarnation also grows without a
+        restart, and then calls on the older link still get their answers. If
+        the older process is gone, the link times out.
         """
         older = [old for old in peer.links if old.incarnation < link.incarnation]
         spare = peer.links[: len(peer.links) + 1 - MAX_LINKS_PER_PEER]
@@ -221,44 +241,51 @@
             old.send_ping()
 
     def link_retired(self, link):
-        """Give no new calls to a link."""
+        """Send no new calls on a link."""
         peer = self.peers.get(link.peer_name)
         if peer is not None and link in peer.links:
             peer.links.remove(link)
 
     def link_closed(self, link):
-        """Forget a link."""
+        """Remove a link and, if nothing else is in it, its peer's entry."""
         if link not in self.all_links:
             return
         self.all_links.discard(link)
         if not link.is_open:
-            self.unproven -= not link.dialled
+            self.unauthenticated -= not link.dialled
         self.link_retired(link)
-        if link.doubted:
-            self.doubt_outlasts(link)
+        if link.unresponsive:
+            self.redial_unresponsive(link)
         peer = self.peers.get(link.peer_name)
-        if peer is not None and peer.unused:
+        if peer is not None and peer.is_disposable:
             del self.peers[link.peer_name]
 
-    def doubt_outlasts(self, link):
-        """End the doubt about a link that has ended, or look for the peer."""
+    def redial_unresponsive(self, link):
+        """Redial an unresponsive peer whose link was closed.
+
+        If it has another link, or its address is not known, it just no longer
+        counts as unresponsive.
+        """
         if link.member is None or self.live_link(link.peer_name) is not None:
-            self.peer_doubted(link.peer_name, False)
+            self.notify_unresponsive(link.peer_name, False)
         else:
-            self.dialler.seek(link.member)
+            self.dialler.reconnect(link.member)
 
     def on_unresponsive(self, callback):
-        """Call back with a peer's name and whether its link is in doubt."""
-        self.doubt_callbacks.append(callback)
+        """Add a callback for peers that become unresponsive or respond again.
+
+        It gets the name of the peer and whether it is unresponsive.
+        """
+        self.unresponsive_callbacks.append(callback)
 
-    def peer_doubted(self, name, doubted):
-        """Pass on that a peer owes an answer for long, or was heard again."""
-        self.counters.links_doubted += doubted
-        for callback in self.doubt_callbacks:
-            callback(name, doubted)
+    def notify_unresponsive(self, name, unresponsive):
+        """Report that a peer became unresponsive or responds again."""
+        self.counters.links_doubted += unresponsive
+        for callback in self.unresponsive_callbacks:
+            callback(name, unresponsive)
 
-    def peer_leaving(self, name):
-        """Pass on what a peer said of itself."""
+    def notify_leaving(self, name):
+        """Report that a peer is leaving."""
         for callback in self.leaving_callbacks:
             callback(name)
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/streams.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/streams.py
@@ -1,8 +1,9 @@
-"""Bodies too large for one frame, sent in parts within a window.
+"""Streams bodies that are too large for one frame, with flow control.
 
-The receiver grants bytes as its reader takes them. Without a window a slow
-reader would make this daemon either keep the whole body in memory or stop
-reading the link, and with it all other calls of that peer.
+A body is sent in parts, up to the receiver's window. The receiver extends
+the window as its reader consumes the parts. Without a window, a slow reader
+would make this daemon either keep the whole body in memory or stop reading
+the link, which would block all other calls of that peer.
 """
 
 import asyncio
@@ -18,15 +19,15 @@
 )
 
 
-class BodyBroken(CallError):
-    """A body whose sender or link failed before its end."""
+class BodyTruncated(CallError):
+    """A body whose sender or link failed before the body was complete."""
 
     def __init__(self, detail):
         super().__init__(ErrorKind.LINK_LOST, detail)
 
 
-class BodyInbox:
-    """The received, unread parts of one body.
+class BodyReceiver:
+    """Buffers the received parts of one body until they are read.
 
     Parameters
     ----------
@@ -34,9 +35,10 @@
     number : int
         Identifier of the call.
     of_answer : bool
+        Whether it is the body of an answer rather than of a call.
     on_end : callable
-        Called once, with whether the body came to its end, when no more
-        parts are wanted.
+        Called once, when no more parts are expected or wanted, with whether
+        the body is complete.
     """
 
     __slots__ = (
@@ -45,8 +47,8 @@
         "of_answer",
         "on_end",
         "parts",
-        "allowed",
-        "taken",
+        "window",
+        "ungranted",
         "complete",
         "fault",
         "waiter",
@@ -58,17 +60,17 @@
         self.of_answer = of_answer
         self.on_end = on_end
         self.parts = deque()
-        self.allowed = WINDOW_BYTES
-        self.taken = 0
+        self.window = WINDOW_BYTES
+        self.ungranted = 0
         self.complete = False
         self.fault = None
         self.waiter = None
 
     def receive(self, message):
-        """Take a part from the link; raises `ProtocolError`."""
+        """Buffer a part; raises `ProtocolError` if it exceeds the window."""
         data = message.data
-        self.allowed -= len(data)
-        if self.allowed < 0:
+        self.window -= len(data)
+        if self.window < 0:
             raise ProtocolError("body beyond its window")
         if data:
             self.parts.append(data)
@@ -80,7 +82,7 @@
         self.wake()
 
     def fail(self, detail):
-        """End the body short; the reader gets `BodyBroken`."""
+        """Mark the body as truncated; its reader gets `BodyTruncated`."""
         if not self.complete and self.fault is None:
             self.fault = detail
             self.parts.clear()
@@ -88,67 +90,67 @@
             self.wake()
 
     def end(self):
-        """Tell the owner, once, that no more parts are wanted."""
+        """Call `on_end` unless it was called before."""
         on_end = self.on_end
         if on_end is not None:
             self.on_end = None
             on_end(self.complete)
 
     def wake(self):
-        """Let the reader look again."""
+        """Wake the reader."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
     async def next_part(self):
-        """Return the next part; None at the end of a whole body."""
+        """Return the next part, or None at the end of a complete body."""
         while not self.parts:
             if self.fault is not None:
-                raise BodyBroken(self.fault)
+                raise BodyTruncated(self.fault)
             if self.complete:
                 return None
             self.waiter = asyncio.get_running_loop().create_future()
             await self.waiter
         part = self.parts.popleft()
-        self.taken += len(part)
-        if self.taken >= GRANT_BYTES and not self.complete:
-            self.allowed += self.taken
-            self.link.send(encode_window(self.number, self.taken, self.of_answer))
-            self.taken = 0
+        self.ungranted += len(part)
+        if self.ungranted >= GRANT_BYTES and not self.complete:
+            self.window += self.ungranted
+            self.link.send(encode_window(self.number, self.ungranted, self.of_answer))
+            self.ungranted = 0
         return part
 
 
 class BodyReader:
-    """What `Body.rest` is for a streamed body; read by one task.
+    """Iterates over a streamed body as `Body.rest`; read by one task.
 
-    It holds the inbox and isn't held by it: a reader that is dropped unread
-    lets go of its parts and stops the sender.
+    The receiver holds no reference to the reader. So a reader that is
+    dropped before its end is freed, which stops the sender.
     """
 
-    __slots__ = ("inbox", "__weakref__")
+    __slots__ = ("receiver", "__weakref__")
 
-    def __init__(self, inbox):
-        self.inbox = inbox
+    def __init__(self, receiver):
+        self.receiver = receiver
 
     def __aiter__(self):
         return self
 
     async def __anext__(self):
-        """Return the next part; raises `BodyBroken` on a body cut short."""
-        part = await self.inbox.next_part()
+        """Return the next part; raises `BodyTruncated`."""
+        part = await self.receiver.next_part()
         if part is None:
             raise StopAsyncIteration
         return part
 
     async def aclose(self):
-        """Give up the rest of the body."""
-        self.inbox.fail("the body was given up")
+        """Discard the rest of the body and stop its sender."""
+        self.receiver.fail("the body was given up")
 
     def __del__(self):
-        if self.inbox.on_end is not None and not self.inbox.link.loop.is_closed():
-            self.inbox.fail("the body was dropped")
+        if self.receiver.on_end is not None and not self.receiver.link.loop.is_closed():
+            self.receiver.fail("the body was dropped")
 
 
-class BodyOutlet:
+class BodySender:
     """Sends a body's parts as the peer's window allows.
 
     Parameters
@@ -168,15 +170,15 @@
         self.waiter = None
 
     def grant(self, size):
-        """Add bytes to the window; raises `ProtocolError`."""
+        """Extend the window; raises `ProtocolError` beyond its full size."""
         self.window += size
         if self.window > WINDOW_BYTES:
             raise ProtocolError("window above its size")
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
-    async def pump(self, parts):
-        """Send all parts, then the end or the failure of the body.
+    async def send_all(self, parts):
+        """Send all parts, then a frame that marks the end or the failure.
 
         Parameters
         ----------
@@ -186,8 +188,8 @@
             async for part in parts:
                 await self.send_part(part)
         except Exception:
-            # The peer must see the body as broken: taken for complete, a
-            # half document would be stored or run as if it were whole.
+            # The peer must know that the body is incomplete; otherwise it
+            # would store or run half a document as if it were complete.
             self.link.send(encode_part(self.number, b"", self.of_answer, failed=True))
             return
         finally:
@@ -195,7 +197,7 @@
         self.link.send(encode_part(self.number, b"", self.of_answer, last=True))
 
     async def send_part(self, part):
-        """Send one part in as many frames as the window needs."""
+        """Send one part in as many frames as window and frame size need."""
         view = memoryview(part)
         while view:
             while self.window <= 0:
@@ -204,7 +206,7 @@
             size = min(len(view), self.window, PART_BYTES)
             await self.link.wait_writable()
             if self.link.closed:
-                raise BodyBroken("the link was lost")
+                raise BodyTruncated("the link was lost")
             self.window -= size
             frame = encode_part(self.number, bytes(view[:size]), self.of_answer)
             self.link.send(frame)
@@ -212,14 +214,14 @@
 
 
 async def close_parts(parts):
-    """Release what the parts come from."""
+    """Close the source of the parts, if it can be closed."""
     close = getattr(parts, "aclose", None)
     if close is not None:
         await close()
 
 
 async def remaining_parts(body, start):
-    """Yield what a frame with the body's first bytes left out."""
+    """Yield the body without its first `start` bytes, then close it."""
     try:
         if start < len(body.first):
             yield memoryview(body.first)[start:]
@@ -231,8 +233,8 @@
             await close_parts(body.rest)
 
 
-def first_part(body, inline_bytes):
-    """Return the bytes that travel inline, and whether they are all."""
+def inline_part(body, inline_bytes):
+    """Return the bytes to send inline and whether they are the whole body."""
     if len(body.first) <= inline_bytes:
         return body.first, body.rest is None
     return body.first[:inline_bytes], False
--- a/tests/unit/daemon/links_support.py
+++ b/tests/unit/daemon/links_support.py
@@ -1,4 +1,4 @@
-"""Links of several daemons in one process."""
+"""Fixtures for tests with links of several daemons in one process."""
 
 import asyncio
 import random
@@ -12,8 +12,7 @@
 from papayabay_daemon._internal.interfaces import Member
 from papayabay_daemon._internal.links import PeerLinks
 
-BOUND = 10
-MEGABYTES_5 = 5 * 1024 * 1024
+TIMEOUT_SECONDS = 10
 
 
 def make_links(name, secret="a long secret", incarnation=1, **timing):
@@ -87,6 +86,6 @@
 
     async def assert_kind(self, kind, awaitable):
         with self.assertRaises(CallError) as caught:
-            async with asyncio.timeout(BOUND):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await awaitable
         self.assertEqual(caught.exception.kind, kind)
--- a/tests/unit/daemon/test_links_bodies.py
+++ b/tests/unit/daemon/test_links_bodies.py
@@ -1,4 +1,4 @@
-"""Calls, bodies and cancellation over real links on loopback."""
+"""Streamed bodies over real links on loopback."""
 
 import asyncio
 import random
@@ -6,7 +6,7 @@
 from papayabay_core.calls import Answer, Body
 from papayabay_core.errors import CallError, ErrorKind
 from tests.unit.daemon.links_support import (
-    BOUND,
+    TIMEOUT_SECONDS,
     LinksTestCase,
     broken_parts,
     make_call,
@@ -14,12 +14,12 @@
     read_all,
 )
 
-MEGABYTES_5 = 5 * 1024 * 1024
+BODY_BYTES = 5 * 1024 * 1024
 
 
 class BodyTests(LinksTestCase):
     async def test_slow_reader_does_not_block_small_calls(self):
-        content = random.Random(3).randbytes(MEGABYTES_5)
+        content = random.Random(3).randbytes(BODY_BYTES)
         go_on = asyncio.Event()
         half = asyncio.Event()
 
@@ -36,7 +36,7 @@
         call = make_call("/large")
         call.body = body
         large = asyncio.create_task(self.a.call(self.peer, call))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await half.wait()
             for _ in range(20):
                 await self.a.call(self.peer, make_call("/small"))
@@ -47,12 +47,11 @@
             self.assertTrue(await read_all(answer.body) == content)
         self.assertEqual(self.a.status()[0]["in_flight"], 0)
 
-    async def test_broken_body_never_looks_whole(self):
-        """A body cut short raises in its reader.
+    async def test_truncated_body_raises_in_its_reader(self):
+        """Half a document was stored as if it were complete.
 
-        Symptom: half a document was stored as if whole. Sequence: the
-        sender's source fails after its first part. Cause: the end of the
-        parts was taken for the end of the body.
+        The source of a body fails after its first part. The end of the parts
+        must not be taken for the end of the body.
         """
         failed = asyncio.Queue()
 
@@ -65,7 +64,7 @@
 
         self.serve(handler)
         call = make_call(body=b"a", rest=broken_parts(b"b"))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             answer = await self.a.call(self.peer, call)
             self.assertEqual(await failed.get(), ErrorKind.LINK_LOST)
         await self.assert_kind(ErrorKind.LINK_LOST, read_all(answer.body))
@@ -84,7 +83,7 @@
             return Answer(200, [], Body(b"", endless()))
 
         self.serve(handler)
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             answer = await self.a.call(self.peer, make_call())
             del answer
             await ended.wait()
--- a/tests/unit/daemon/test_links_calls.py
+++ b/tests/unit/daemon/test_links_calls.py
@@ -1,4 +1,4 @@
-"""Calls, bodies and cancellation over real links on loopback."""
+"""Calls, cancellation and control requests over real links on loopback."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.exceptions import ProtocolError
 from tests.unit.daemon.links_support import (
-    BOUND,
+    TIMEOUT_SECONDS,
     LinksTestCase,
     echo_path,
     make_call,
@@ -56,7 +56,7 @@
 
         self.serve(handler)
         paths = [f"/{number}" for number in range(1_000)]
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             answers = await asyncio.gather(
                 *(self.a.call(self.peer, make_call(path)) for path in paths)
             )
@@ -65,11 +65,10 @@
         self.assertEqual(self.a.counters.links_opened, 1)
 
     async def test_cancel_reaches_handler_and_late_answer_is_dropped(self):
-        """An answer to an ended call is dropped.
+        """A later call got the answer of an earlier, cancelled call.
 
-        Symptom: a later call got an earlier call's answer. Sequence: a call
-        is cancelled; its handler answers all the same. Cause: an identifier
-        that is still known, or known again, when the answer comes.
+        The handler of a cancelled call answers all the same. The answer must
+        be dropped: its identifier must neither be kept nor be reused.
         """
         running, cancelled = asyncio.Event(), asyncio.Queue()
 
@@ -85,7 +84,7 @@
 
         self.serve(handler)
         task = asyncio.create_task(self.a.call(self.peer, make_call("/first")))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await running.wait()
             task.cancel()
             with self.assertRaises(asyncio.CancelledError):
@@ -112,7 +111,7 @@
             answer = await self.a.call(self.peer, make_call(path))
             self.assertEqual(answer.kind, ErrorKind.INTERNAL)
 
-    async def test_nothing_sent(self):
+    async def test_unreachable_peer_gives_link_unavailable(self):
         await self.b.close()
         for _ in range(2):
             call = self.a.call(self.peer, make_call())
@@ -126,11 +125,10 @@
         self.assertEqual(self.a.counters.calls_sent, 0)
 
     async def test_handlers_are_cancelled_once(self):
-        """A handler that cleans up after its cancel is left to finish.
+        """A slot was never released after a call was cancelled.
 
-        Symptom: a slot was never given back. Sequence: a call is cancelled,
-        its handler cleans up, and meanwhile the link ends. Cause: a second
-        cancellation in the middle of the cleaning up.
+        The link closed while the handler of a cancelled call was cleaning up,
+        and a second cancellation interrupted the clean-up.
         """
         running, cleaning = asyncio.Event(), asyncio.Event()
         go_on, link_ended = asyncio.Event(), asyncio.Event()
@@ -150,15 +148,15 @@
 
         self.serve(handler)
         stuck = asyncio.create_task(self.a.call(self.peer, make_call()))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await running.wait()
-            heart = self.b.live_link("a").heart
-            heart.add_done_callback(lambda heart: link_ended.set())
+            heartbeats_ended = self.b.live_link("a").heartbeats_ended
+            heartbeats_ended.add_done_callback(lambda _: link_ended.set())
             stuck.cancel()
             await cleaning.wait()
             await self.a.close()
             await link_ended.wait()
-            # Lets a second cancellation, if there is one, arrive first.
+            # A second cancellation, if there is one, is delivered first.
             await asyncio.sleep(0)
             go_on.set()
             self.assertEqual(await ends.get(), "cleaned up")
@@ -175,18 +173,18 @@
 
         self.serve(handler)
         stuck = asyncio.create_task(self.a.call(self.peer, make_call()))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await running.wait()
             await self.a.close()
             await self.assert_kind(ErrorKind.LINK_LOST, stuck)
             await ended.wait()
 
     async def test_retired_link_finishes_its_calls(self):
-        """A link that is given up for being idle cuts off no call.
+        """A call was lost when an idle link was closed.
 
-        Symptom: a call was lost with a link that was closed as unused.
-        Sequence: one end closes while the other's call is on the way.
-        Cause: closing without having heard that the peer sends no more.
+        One end closed the link while a call of the other end was in transit.
+        A link may close only after both ends have announced that they send
+        no more calls.
         """
         go_on, closed = asyncio.Event(), asyncio.Event()
 
@@ -199,9 +197,9 @@
         await self.a.call(self.peer, make_call())
         old = self.a.live_link("b")
         slow = asyncio.create_task(self.a.call(self.peer, make_call("/slow")))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await asyncio.sleep(0)
-            old.heart.add_done_callback(lambda heart: closed.set())
+            old.heartbeats_ended.add_done_callback(lambda _: closed.set())
             old.retire()
             await self.a.call(self.peer, make_call())
             self.assertFalse(old.closed)
@@ -213,11 +211,10 @@
         self.assertEqual(self.a.counters.calls_lost, 0)
 
     async def test_full_socket_refuses_new_calls(self):
-        """A call that could not be written was not run.
+        """Calls to a peer that stopped reading ended with effect `unknown`.
 
-        Symptom: calls to a peer that stopped reading ended as `unknown`.
-        Sequence: the socket is full when the call comes. Cause: the call
-        was put behind the data that nobody reads.
+        The call was queued behind data that the peer never read. With a full
+        write buffer it must fail unsent, so that it can run elsewhere.
         """
         self.serve(echo_path)
         await self.a.call(self.peer, make_call())
@@ -234,7 +231,7 @@
             return payload[::-1]
 
         self.b.handle_requests("turn", topic)
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             self.assertEqual(await self.a.request(self.peer, "turn", b"ab", 5), b"ba")
             with self.assertRaises(ProtocolError):
                 await self.a.request(self.peer, "none", b"", 5)
--- a/tests/unit/daemon/test_links_faults.py
+++ b/tests/unit/daemon/test_links_faults.py
@@ -1,4 +1,4 @@
-"""Bad frames, refused handshakes and delayed frames."""
+"""Malformed frames, failed handshakes and delayed frames on links."""
 
 import asyncio
 import dataclasses
@@ -11,8 +11,8 @@
 from papayabay_core.exceptions import ProtocolError
 from papayabay_core.wire import schema
 from papayabay_daemon._internal.links import call_frames, codec, handshake
-from papayabay_daemon._internal.links.framing import FrameCutter, add_prefix
-from papayabay_daemon._internal.links.lifetime import ClockOffset, now_us
+from papayabay_daemon._internal.links.clock_offset import ClockOffset, now_us
+from papayabay_daemon._internal.links.framing import FrameDecoder, add_length_prefix
 from papayabay_daemon._internal.links.limits import (
     MAX_FRAME_BYTES,
     OFFSET_BUCKET_US,
@@ -20,7 +20,7 @@
     WINDOW_BYTES,
 )
 from tests.unit.daemon.links_support import (
-    BOUND,
+    TIMEOUT_SECONDS,
     LinksTestCase,
     echo_path,
     make_call,
@@ -29,7 +29,7 @@
 
 
 class RawPeer:
-    """A peer made of plain frames, which can send what no daemon would."""
+    """A peer that can send any frames, also invalid ones."""
 
     def __init__(self, links, port, expected="b"):
         cluster = links.settings.cluster
@@ -38,7 +38,7 @@
 
     async def connect(self):
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
-        self.send(handshake.encode_hello(self.handshake.own))
+        self.send(handshake.encode_hello(self.handshake.local_hello))
         with schema.Frame.from_bytes(await self.frame()) as message:
             hello = handshake.decode_hello(message.hello)
         return self.handshake.accept_hello(hello)
@@ -49,7 +49,7 @@
         return self
 
     def send(self, frame):
-        self.writer.write(add_prefix(frame))
+        self.writer.write(add_length_prefix(frame))
 
     async def frame(self):
         length = int.from_bytes(await self.reader.readexactly(4), "big")
@@ -63,7 +63,7 @@
                 return message.id, call_frames.decode_answer(message)
 
     async def ended(self):
-        """Return once the daemon has closed the connection."""
+        """Wait until the daemon has closed the connection."""
         try:
             while await self.reader.read(65_536):
                 pass
@@ -85,7 +85,7 @@
         return call_frames.encode_call(number, call, b"", True, stamp, 0)
 
     async def assert_only_this_link_ends(self):
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await self.raw.ended()
             answer = await self.a.call(self.peer, make_call("/other"))
         self.assertEqual(answer.body.first, b"/other")
@@ -93,23 +93,23 @@
         self.assertEqual([entry["peer"] for entry in self.b.status()], ["a"])
 
     async def test_bad_frames_close_only_their_link(self):
-        """A frame that can't be read costs its sender the link.
+        """Malformed frames of one peer ended calls of other peers, or ran.
 
-        Symptom: one peer's garbage ended other peers' calls, or was run.
-        Sequence: garbage, a length above the bound, or a used identifier
-        comes on one of two links. Cause: errors of the reader that reach
-        past its connection.
+        One of two links gets malformed data, a length above the limit or an
+        identifier that was used before. Only that link may be closed.
         """
         rng = random.Random(11)
-        garbage = add_prefix(rng.randbytes(512))
-        unaligned = add_prefix(b"xyz")
-        empty = add_prefix(b"")
+        garbage = add_length_prefix(rng.randbytes(512))
+        unaligned = add_length_prefix(b"xyz")
+        empty = add_length_prefix(b"")
         oversized = (MAX_FRAME_BYTES + 1).to_bytes(4, "big")
-        cut_short = add_prefix(self.call_frame(1)[:-64])
-        twice = add_prefix(self.call_frame(1)) * 2
-        hello = add_prefix(handshake.encode_hello(self.raw.handshake.own))
-        unsent = add_prefix(call_frames.encode_answer(9, Answer(200), b"", True))
-        window = add_prefix(codec.encode_window(1, 2**31, False))
+        cut_short = add_length_prefix(self.call_frame(1)[:-64])
+        twice = add_length_prefix(self.call_frame(1)) * 2
+        hello = add_length_prefix(
+            handshake.encode_hello(self.raw.handshake.local_hello)
+        )
+        unsent = add_length_prefix(call_frames.encode_answer(9, Answer(200), b"", True))
+        window = add_length_prefix(codec.encode_window(1, 2**31, False))
         cases = {
             "garbage": garbage,
             "unaligned": unaligned,
@@ -127,25 +127,24 @@
                 await self.assert_only_this_link_ends()
                 port = self.peer.link_port
                 self.raw = await RawPeer(make_links("raw"), port).open()
-        # A window for a call that isn't known is late, not bad.
+        # A window for an unknown call is late, not malformed.
         self.raw.writer.write(window)
         self.raw.send(self.call_frame(1))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             self.assertEqual((await self.raw.answer())[0], 1)
 
     async def test_truncated_frame(self):
-        self.raw.writer.write(add_prefix(self.call_frame(1))[:-8])
+        self.raw.writer.write(add_length_prefix(self.call_frame(1))[:-8])
         self.raw.writer.write_eof()
         await self.assert_only_this_link_ends()
-        # Only the other link's call was taken.
+        # Only the call on the other link was received.
         self.assertEqual(self.b.counters.calls_received, 1)
 
     async def test_body_beyond_window(self):
-        """A sender that ignores its window can't fill the memory.
+        """A daemon's memory grew because of one slow reader.
 
-        Symptom: a daemon's memory grew with one slow reader. Sequence: a
-        peer streams a body that nobody reads, without being granted more.
-        Cause: parts that are kept however many come.
+        A peer streams a body that nobody reads and ignores its window. Its
+        link must be closed instead of buffering all parts.
         """
         self.serve(lambda call, peer: asyncio.Event().wait())
         call = make_call()
@@ -155,7 +154,7 @@
         await self.assert_ended_bad()
 
     async def assert_ended_bad(self):
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await self.raw.ended()
         self.assertEqual(self.b.counters.frames_bad, 1)
 
@@ -165,17 +164,16 @@
         frame[kind : kind + 2] = (999).to_bytes(2, "little")
         self.raw.send(bytes(frame))
         self.raw.send(self.call_frame(1))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             number, answer = await self.raw.answer()
         self.assertEqual((number, answer.body.first), (1, b"/1"))
         self.assertEqual(self.b.counters.frames_unknown, 1)
 
     async def test_excess_delay_reduces_life(self):
-        """Time that a frame waited counts towards the call's lifetime.
+        """A call was run long after its caller had timed out.
 
-        Symptom: a call was run long after its caller had given up.
-        Sequence: the sender stamps a frame and is paused before the frame
-        leaves. Cause: only the remaining time that the frame names was used.
+        The sender was paused between stamping a frame and sending it. That
+        delay must be subtracted from the remaining time in the frame.
         """
         lives = asyncio.Queue()
 
@@ -187,7 +185,7 @@
         stamp = now_us()
         self.raw.send(self.call_frame(1, stamp))
         self.raw.send(self.call_frame(2, stamp - 10_000_000))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             undelayed, delayed = await lives.get(), await lives.get()
         self.assertAlmostEqual(undelayed, 30, delta=5)
         self.assertAlmostEqual(undelayed - delayed, 10, delta=5)
@@ -213,21 +211,20 @@
             raw = RawPeer(make_links("raw"), self.peer.link_port)
         with self.assertRaises(ProtocolError):
             await raw.connect()
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await raw.ended()
         self.assertEqual(self.b.counters.links_refused, 1)
         raw.writer.close()
 
     async def test_reflected_proof(self):
-        """An end's own proof does not open a link to it.
+        """A peer without the secret was accepted.
 
-        Symptom: a peer without the secret was accepted. Sequence: it sends
-        the daemon's own hello and proof back. Cause: a proof that is the
-        same in both directions.
+        It reflects the daemon's own hello and proof. A proof must differ
+        between the two directions.
         """
         port = self.peer.link_port
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             for _ in range(2):
                 length = await reader.readexactly(4)
                 frame = await reader.readexactly(int.from_bytes(length, "big"))
@@ -244,7 +241,7 @@
         self.assertEqual(self.b.live_link("raw").incarnation, 2)
         self.assertEqual(self.b.counters.links_replaced, 1)
         late = await RawPeer(make_links("raw"), self.peer.link_port).open()
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await late.ended()
         self.assertEqual(self.b.live_link("raw").incarnation, 2)
         for raw in (old, new, late):
@@ -273,15 +270,15 @@
         self.assertEqual(offset.smallest, 500)
 
 
-class FrameCutterTests(TestCase):
+class FrameDecoderTests(TestCase):
     def test_any_cut_gives_the_same_frames(self):
         rng = random.Random(5)
         frames = [rng.randbytes(rng.randint(1, 90)) for _ in range(200)]
-        stream = b"".join(map(add_prefix, frames))
-        cutter, got = FrameCutter(100), []
+        stream = b"".join(map(add_length_prefix, frames))
+        decoder, got = FrameDecoder(100), []
         while stream:
             size = rng.randint(1, 150)
-            cutter.feed(stream[:size])
+            decoder.feed(stream[:size])
             stream = stream[size:]
-            got += iter(cutter.next_frame, None)
+            got += iter(decoder.next_frame, None)
         self.assertEqual(got, frames)
--- a/tests/unit/daemon/test_links_heartbeats.py
+++ b/tests/unit/daemon/test_links_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of links that carry little or nothing."""
+"""Heartbeats and liveness checks of idle links."""
 
 import asyncio
 import dataclasses
@@ -6,13 +6,13 @@
 from papayabay_core.calls import Answer, Body
 from papayabay_core.utils.clock import now
 from papayabay_daemon._internal.links.limits import (
-    QUIET_SECONDS,
+    KEEPALIVE_SECONDS,
     RARE_STAMP_SECONDS,
     STAMP_SECONDS,
 )
-from papayabay_daemon._internal.links.silence import SilenceWatch
+from papayabay_daemon._internal.links.liveness import LivenessDetector
 from tests.unit.daemon.links_support import (
-    BOUND,
+    TIMEOUT_SECONDS,
     LinksTestCase,
     echo_path,
     make_call,
@@ -39,12 +39,12 @@
         self.other = self.b.live_link("a")
 
     async def until(self, condition):
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not condition():
                 await asyncio.sleep(0.005)
 
     def count_pings(self, link):
-        """Count the heartbeats that reach one end; set an event at some."""
+        """Record the heartbeats one end receives; set an event at `PINGS`."""
         seen, enough = [], asyncio.Event()
         receive = link.receivers["ping"]
 
@@ -57,13 +57,12 @@
         link.receivers["ping"] = counted
         return seen, enough
 
-    async def test_call_after_long_quiet_is_not_lost(self):
-        """A slow call on a link that was idle gets its answer.
+    async def test_slow_call_on_an_idle_link_is_not_lost(self):
+        """Calls on links that had been idle ended with effect `unknown`.
 
-        Symptom: calls after a quiet time were `unknown`. Sequence: nothing
-        is heard for 20 s because nothing is owed, then a call is sent, then
-        the heartbeat timer runs before its answer. Cause: the quiet time
-        before the call was counted as silence.
+        Nothing is received for 20 s because nothing is expected; then a call
+        is sent, and the liveness check runs before its answer. The idle time
+        before the call must not count as silence.
         """
         _, enough = self.count_pings(self.other)
 
@@ -72,90 +71,89 @@
             return Answer(200, [], Body())
 
         self.serve(after_some_pings)
-        self.link.last_heard = now() - IDLE_FOR_SECONDS
-        async with asyncio.timeout(BOUND):
+        self.link.last_received = now() - IDLE_FOR_SECONDS
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             answer = await self.a.call(self.peer, make_call("/slow"))
         self.assertEqual(answer.status, 200)
         self.assertEqual(self.a.counters.links_silent, 0)
 
     async def test_idle_link_sends_no_heartbeats(self):
-        """A link with nothing owed on it stays quiet.
+        """A hundred idle links took 78 KB and 805 frames a second.
 
-        Symptom: 100 idle links took 78 KB and 805 frames a second.
-        Sequence: links are opened and not used. Cause: both ends sent a
-        heartbeat every half second, whatever was owed.
+        Both ends sent a heartbeat every half second, even when no answer was
+        expected.
         """
-        await self.until(lambda: self.link.ping_us is None)
-        await self.until(lambda: self.other.ping_us is None)
+        await self.until(lambda: self.link.pending_ping_us is None)
+        await self.until(lambda: self.other.pending_ping_us is None)
         seen, _ = self.count_pings(self.other)
-        beats = []
-        patience = self.link.patience
+        intervals = []
+        heartbeat_interval = self.link.heartbeat_interval
 
-        def counted(watch):
-            beats.append(patience(watch))
-            return beats[-1]
+        def counted(detector):
+            intervals.append(heartbeat_interval(detector))
+            return intervals[-1]
 
-        self.link.patience = counted
-        await self.until(lambda: len(beats) > 2 * PINGS)
+        self.link.heartbeat_interval = counted
+        await self.until(lambda: len(intervals) > 2 * PINGS)
         self.assertEqual(seen, [])
 
-    async def test_all_links_are_looked_at_in_one_turn(self):
-        """A daemon of a large fleet woke up 350 times a second for nothing.
+    async def test_one_task_checks_all_links(self):
+        """A daemon of a large fleet woke up 350 times a second when idle.
 
-        It has seventy links, each with a timer of its own that ran out five
-        times a second. Cause: one task for each link.
+        Each of its seventy links had its own task, whose timer fired five
+        times a second.
         """
         before = len(asyncio.all_tasks())
         await self.a.dialler.dial(self.b.local)
         await self.a.dialler.dial(self.b.local)
-        self.assertGreaterEqual(len(self.a.beats.links), 3)
+        self.assertGreaterEqual(len(self.a.heartbeats.links), 3)
         self.assertEqual(len(asyncio.all_tasks()), before)
 
-    async def test_a_late_beat_takes_no_doubt_back(self):
-        """A peer that owed an answer got calls again for a moment.
+    async def test_a_delayed_check_keeps_a_peer_unresponsive(self):
+        """An unresponsive peer got calls again until the next check.
 
-        Sequence: its link is in doubt; the own process pauses, so that the
-        next beat is late. Cause: a late beat judges nobody silent, which was
-        taken for a sign of life.
+        The local process pauses, so that the next liveness check is late. A
+        late check reports no peer as silent, which must not be taken for a
+        response of the peer.
         """
-        self.link.heart.cancel()
-        self.link.set_doubt(True)
-        watch = SilenceWatch(self.a.settings.timing, 0.0)
-        self.link.beat(watch, 100.0)
-        self.assertTrue(self.link.doubted)
+        self.link.heartbeats_ended.cancel()
+        self.link.set_unresponsive(True)
+        detector = LivenessDetector(self.a.settings.timing, 0.0)
+        self.link.check_liveness(detector, 100.0)
+        self.assertTrue(self.link.unresponsive)
 
-    async def test_a_fault_in_one_heartbeat_ends_that_link_alone(self):
+    async def test_an_error_in_a_liveness_check_closes_only_that_link(self):
         await self.a.dialler.dial(self.peer)
         newest = self.a.live_link("b")
 
-        def broken(watch, moment):
+        def broken(detector, moment):
             raise RuntimeError("broken")
 
-        self.link.beat = broken
+        self.link.check_liveness = broken
         await self.until(lambda: self.link.closed)
         self.assertFalse(newest.closed)
 
-    async def test_one_end_asks_after_a_quiet_time(self):
-        """Both ends of a quiet link sent a heartbeat at the same moment.
+    async def test_the_accepting_end_waits_longer_before_a_heartbeat(self):
+        """Both ends of an idle link sent a heartbeat at the same time.
 
-        Symptom: 11 B a second on each idle link. Cause: both ends heard the
-        last frame at the same time and waited equally long.
+        That took 11 B a second on each idle link. Both ends receive the last
+        frame at about the same time, so they must not wait equally long.
         """
-        watch = SilenceWatch(self.a.settings.timing, now())
+        detector = LivenessDetector(self.a.settings.timing, now())
         for end in (self.link, self.other):
-            await self.until(lambda end=end: not end.is_owed())
-        waits = [end.patience(watch) for end in (self.link, self.other)]
-        self.assertEqual(waits, [QUIET_SECONDS, QUIET_SECONDS + 3])
+            await self.until(lambda end=end: not end.expects_answer())
+        waits = [end.heartbeat_interval(detector) for end in (self.link, self.other)]
+        self.assertEqual(waits, [KEEPALIVE_SECONDS, KEEPALIVE_SECONDS + 3])
 
-    async def test_only_an_end_that_calls_shows_its_clock_often(self):
-        """An end that only answers sent its clock as often as one that calls.
+    async def test_only_an_end_that_sends_calls_stamps_often(self):
+        """A busy link carried two extra frames every half minute.
 
-        Symptom: two frames each half minute on links with calls all the
-        time. Cause: answers carry no stamp, so stamps seemed overdue, while
-        they are only used to judge calls.
+        The end that only answers sent clock stamps as often as the end that
+        calls, because answers contain no stamp and stamps seemed overdue.
+        Stamps are only used for the delay of calls.
         """
         for end in (self.link, self.other):
-            end.heart.cancel()
+            end.heartbeats_ended.cancel()
         moment = now()
         self.link.stamp_due(moment)
         self.other.stamp_due(moment)
@@ -167,15 +165,14 @@
             self.assertEqual(self.link.stamp_due(moment + ahead), called)
             self.assertEqual(self.other.stamp_due(moment + ahead), answered)
 
-    async def test_idle_link_that_went_silent_is_dropped(self):
-        """An unanswered heartbeat ends a link that has no calls.
+    async def test_idle_link_is_closed_after_an_unanswered_heartbeat(self):
+        """A call was lost on a connection that had been dead for minutes.
 
-        Symptom: a call was lost to a connection dead for minutes. Sequence:
-        a middlebox forgets an idle connection, the rare heartbeat falls due
-        on it. Cause: silence was only judged while calls were in flight.
+        A middlebox drops the state of an idle connection, then a heartbeat is
+        due on it. The link must time out even without calls in flight.
         """
-        await self.until(lambda: self.link.ping_us is None)
+        await self.until(lambda: self.link.pending_ping_us is None)
         self.relay.silent = True
-        self.link.last_heard = now() - 2 * IDLE_FOR_SECONDS
+        self.link.last_received = now() - 2 * IDLE_FOR_SECONDS
         await self.until(lambda: self.link.closed)
         self.assertEqual(self.a.counters.links_silent, 1)
--- a/tests/unit/daemon/test_links_silence.py
+++ b/tests/unit/daemon/test_links_silence.py
@@ -1,4 +1,4 @@
-"""Links on which nothing comes any more."""
+"""Links whose peer stops responding while the connection stays open."""
 
 import asyncio
 import dataclasses
@@ -7,9 +7,9 @@
 from papayabay_core.calls import Answer, Body
 from papayabay_core.errors import CallError, ErrorKind
 from papayabay_core.settings import TimingSettings
-from papayabay_daemon._internal.links.silence import SilenceWatch
+from papayabay_daemon._internal.links.liveness import LivenessDetector
 from tests.unit.daemon.links_support import (
-    BOUND,
+    TIMEOUT_SECONDS,
     LinksTestCase,
     make_call,
     make_links,
@@ -18,7 +18,7 @@
 
 
 class Relay:
-    """Forwards one port to another until it is told to be silent."""
+    """Forwards a port; drops data of older connections once `silent`."""
 
     def __init__(self, port):
         self.target = port
@@ -76,15 +76,15 @@
         await asyncio.Event().wait()
 
     async def test_silent_link_is_replaced(self):
-        """Calls on a forgotten connection end, and later ones go through.
+        """Calls hung until their deadline on a dead connection.
 
-        Symptom: calls hung until their lifetime ended. Sequence: a middlebox
-        forgets a connection; writes succeed and nothing returns. Cause: TCP
-        tells of it after minutes only.
+        A middlebox drops the state of a connection: writes succeed, nothing
+        is received, and TCP reports the loss only after minutes. The calls
+        must fail when the link times out, and later calls use a new link.
         """
         streamed = await self.a.call(self.peer, make_call("/body"))
         stuck = asyncio.create_task(self.a.call(self.peer, make_call("/stuck")))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while await self.started_calls.get() != "/stuck":
                 pass
             self.relay.silent = True
@@ -97,40 +97,40 @@
         self.assertEqual(self.a.counters.links_opened, 2)
 
 
-class DoubtTests(SilentLinkTests):
-    """Links that may be silent, before they are given up."""
+class UnresponsivePeerTests(SilentLinkTests):
+    """Peers that are unresponsive, before and after their link times out."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         timing = {"link_heartbeat_ms": 20, "link_doubt_ms": 100}
         self.a = await self.started(make_links("a", link_silence_ms=1_500, **timing))
-        self.doubts = asyncio.Queue()
-        self.a.on_unresponsive(lambda *doubt: self.doubts.put_nowait(doubt))
+        self.reports = asyncio.Queue()
+        self.a.on_unresponsive(lambda *report: self.reports.put_nowait(report))
 
-    async def test_a_silent_link_is_in_doubt_until_it_is_given_up(self):
+    async def test_a_silent_peer_is_reported_before_its_link_times_out(self):
         """A quarter of the calls of a service hung for two seconds.
 
-        One of its four machines goes dark. Its links are given up after 2 s,
-        as that leaves the ends of their calls unknown, and until then each
-        fourth call was sent there all the same.
+        One of its four machines loses power. Its links time out only after
+        2 s, because closing them leaves the outcome of their calls unknown,
+        and until then every fourth call was still sent there.
         """
         stuck = asyncio.create_task(self.a.call(self.peer, make_call("/stuck")))
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await self.started_calls.get()
             self.relay.silent = True
-            self.assertEqual(await self.doubts.get(), ("b", True))
+            self.assertEqual(await self.reports.get(), ("b", True))
             self.assertFalse(stuck.done())
             await self.assert_kind(ErrorKind.LINK_LOST, stuck)
-            self.assertEqual(await self.doubts.get(), ("b", False))
+            self.assertEqual(await self.reports.get(), ("b", False))
 
-    async def test_a_doubt_outlasts_the_link_that_is_given_up(self):
-        """Calls went on to a machine without power, and waited a second each.
+    async def test_a_peer_stays_unresponsive_after_its_link_timed_out(self):
+        """Calls were sent to a machine without power and waited a second each.
 
-        Sequence: a machine goes dark; after 0.6 s its link is in doubt and
-        calls go elsewhere; after 2 s the link is given up. Cause: the doubt
-        ended with the link, long before anybody declared the machine dead.
+        After 0.6 s the machine counts as unresponsive and calls go elsewhere;
+        after 2 s its link times out. The peer must stay unresponsive then, as
+        it is declared dead only much later.
         """
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await self.a.call(self.peer, make_call("/"))
             stuck = asyncio.create_task(self.a.call(self.peer, make_call("/stuck")))
             while await self.started_calls.get() != "/stuck":
@@ -138,60 +138,59 @@
             self.relay.silent = True
             self.relay.server.close()
             await self.assert_kind(ErrorKind.LINK_LOST, stuck)
-            self.assertEqual(await self.doubts.get(), ("b", True))
+            self.assertEqual(await self.reports.get(), ("b", True))
             await self.assert_kind(
                 ErrorKind.LINK_UNAVAILABLE, self.a.call(self.peer, make_call("/"))
             )
-            self.assertTrue(self.doubts.empty())
+            self.assertTrue(self.reports.empty())
             self.relay.silent = False
             self.relay.server = await asyncio.start_server(
                 self.relay.accept, "127.0.0.1", self.peer.link_port
             )
-            self.assertEqual(await self.doubts.get(), ("b", False))
+            self.assertEqual(await self.reports.get(), ("b", False))
             await self.a.call(self.peer, make_call("/"))
 
-    async def test_a_peer_that_answers_heartbeats_is_not_doubted(self):
+    async def test_a_peer_that_answers_heartbeats_is_responsive(self):
         stuck = asyncio.create_task(self.a.call(self.peer, make_call("/stuck")))
         pongs = asyncio.Queue()
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await self.started_calls.get()
             link = self.a.live_link("b")
             receive = link.receivers["pong"]
             link.receivers["pong"] = lambda stamp: (receive(stamp), pongs.put_nowait(1))
             for _ in range(4):
                 await pongs.get()
-        self.assertTrue(self.doubts.empty())
+        self.assertTrue(self.reports.empty())
         stuck.cancel()
 
 
-class SilenceWatchTests(TestCase):
+class LivenessDetectorTests(TestCase):
     def test_own_pause_keeps_links(self):
-        """A paused daemon does not cut its healthy links.
+        """After a pause, all calls of a daemon had the effect `unknown`.
 
-        Symptom: after a pause all calls of a daemon were `unknown`.
-        Sequence: the process stands still for longer than the silence
-        bound, then its heartbeat timer runs. Cause: the peers' frames were
-        still unread, and the peers were taken for silent.
+        The process is paused for longer than the silence limit, then its
+        liveness check runs before the peers' frames are read. Healthy links
+        must not time out.
         """
         timing = TimingSettings(link_heartbeat_ms=500, link_silence_ms=2_000)
-        watch = SilenceWatch(timing, 0.0)
-        self.assertFalse(watch.is_silent(0.5, 0.0))
-        self.assertFalse(watch.is_silent(100.0, 0.4))
-        self.assertTrue(watch.is_silent(100.5, 0.4))
+        detector = LivenessDetector(timing, 0.0)
+        self.assertFalse(detector.has_timed_out(0.5, 0.0))
+        self.assertFalse(detector.has_timed_out(100.0, 0.4))
+        self.assertTrue(detector.has_timed_out(100.5, 0.4))
 
-    def test_own_pause_keeps_all_links_that_are_looked_at_together(self):
-        """A paused daemon kept one of its links and cut the others.
+    def test_own_pause_keeps_all_links_of_one_check(self):
+        """After a pause, a daemon kept one of its links and closed the others.
 
-        All links are looked at in one turn. Cause: the first look noted its
-        time, so that the next seemed to come without a pause before it.
+        All links are checked in one turn. The check of the first link stored
+        the time, so that the checks of the others did not see the pause.
         """
         timing = TimingSettings(link_heartbeat_ms=500, link_silence_ms=2_000)
-        watch = SilenceWatch(timing, 0.0)
-        looks = [watch.is_silent(100.0, 0.4) for _ in range(3)]
-        self.assertEqual(looks, [False, False, False])
-        self.assertTrue(watch.is_silent(100.5, 0.4))
+        detector = LivenessDetector(timing, 0.0)
+        checks = [detector.has_timed_out(100.0, 0.4) for _ in range(3)]
+        self.assertEqual(checks, [False, False, False])
+        self.assertTrue(detector.has_timed_out(100.5, 0.4))
 
     def test_silence(self):
-        watch = SilenceWatch(TimingSettings(), 0.0)
-        beats = [watch.is_silent(beat / 2, 0.0) for beat in range(1, 5)]
-        self.assertEqual(beats, [False, False, False, True])
+        detector = LivenessDetector(TimingSettings(), 0.0)
+        checks = [detector.has_timed_out(check / 2, 0.0) for check in range(1, 5)]
+        self.assertEqual(checks, [False, False, False, True])
