--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/streams.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/links/streams.py
@@ -19,7 +19,7 @@
 )
 
 
-class BodyTruncated(CallError):
+class BodyBroken(CallError):
     """A body whose sender or link failed before the body was complete."""
 
     def __init__(self, detail):
@@ -82,7 +82,7 @@
         self.wake()
 
     def fail(self, detail):
-        """Mark the body as truncated; its reader gets `BodyTruncated`."""
+        """Mark the body as truncated; its reader gets `BodyBroken`."""
         if not self.complete and self.fault is None:
             self.fault = detail
             self.parts.clear()
@@ -105,7 +105,7 @@
         """Return the next part, or None at the end of a complete body."""
         while not self.parts:
             if self.fault is not None:
-                raise BodyTruncated(self.fault)
+                raise BodyBroken(self.fault)
             if self.complete:
                 return None
             self.waiter = asyncio.get_running_loop().create_future()
@@ -135,7 +135,7 @@
         return self
 
     async def __anext__(self):
-        """Return the next part; raises `BodyTruncated`."""
+        """Return the next part; raises `BodyBroken`."""
         part = await self.receiver.next_part()
         if part is None:
             raise StopAsyncIteration
@@ -206,7 +206,7 @@
             size = min(len(view), self.window, PART_BYTES)
             await self.link.wait_writable()
             if self.link.closed:
-                raise BodyTruncated("the link was lost")
+                raise BodyBroken("the link was lost")
             self.window -= size
             frame = encode_part(self.number, bytes(view[:size]), self.of_answer)
             self.link.send(frame)
