--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/__init__.py
@@ -1,4 +1,7 @@
-"""HTTP doors: where callers, targets and operators come in."""
+"""The daemon's HTTP listeners, called doors.
+
+Callers, the target beside the daemon, and operators each have their own.
+"""
 
 from papayabay_daemon._internal.doors.caller import CallerDoor
 from papayabay_daemon._internal.doors.incoming import CallFlow, IncomingRequest
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/body.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/body.py
@@ -1,4 +1,4 @@
-"""Request bodies: whole when small, streamed when large."""
+"""Reads request bodies: small ones completely, large ones as a stream."""
 
 from papayabay_core.calls import Body
 from papayabay_core.errors import CallError, ErrorKind
@@ -8,36 +8,36 @@
 
 
 async def read_message(request, limits):
-    """Return the whole body of a small message; BAD_REQUEST when larger."""
-    body = await IncomingBody(request, limits).read()
+    """Return the body of a small message; BAD_REQUEST if it is too large."""
+    body = await RequestBody(request, limits).read()
     if not body.whole:
         raise CallError(ErrorKind.BAD_REQUEST, "the message is too large")
     return body.first
 
 
-class IncomingBody:
-    """Reads one request's body and remembers how that went.
+class RequestBody:
+    """Reads one request's body and records why it could not be read.
 
     Attributes
     ----------
     fault : CallError or None
-        Why the body could not be read to its end.
-    handed_over : bool
-        Whether a part after the first was taken; what it was given to may
-        have begun to work on an incomplete request.
+        Why the body could not be read completely.
+    streaming_started : bool
+        Whether parts after the first were requested; their reader may have
+        started to process an incomplete request.
     """
 
-    __slots__ = ("fault", "handed_over", "limits", "request", "total")
+    __slots__ = ("fault", "streaming_started", "limits", "request", "total")
 
     def __init__(self, request, limits):
         self.request = request
         self.limits = limits
         self.total = 0
         self.fault = None
-        self.handed_over = False
+        self.streaming_started = False
 
     async def read(self):
-        """Return the body.
+        """Return the body; one above `inline_body_bytes` is streamed.
 
         Raises
         ------
@@ -59,13 +59,13 @@
         return Body(b"".join(parts), self.stream())
 
     async def stream(self):
-        """Yield the parts after the first."""
-        self.handed_over = True
+        """Yield the rest of the body in parts."""
+        self.streaming_started = True
         while part := await self.next_part():
             yield part
 
     async def next_part(self, size=PART_BYTES):
-        """Return up to `size` bytes that arrived next; empty at the end."""
+        """Return the next bytes, at most `size`; empty at the end."""
         try:
             part = await self.request.payload.read(size)
         except CallError as error:
@@ -76,7 +76,7 @@
         return part
 
     def send_continue(self):
-        """Let a client go on that waits to be told so (RFC 9110, 10.1.1)."""
+        """Send 100 Continue if the client expects it (RFC 9110, 10.1.1)."""
         request = self.request
         if request.header(b"expect").lower() != "100-continue":
             return
@@ -84,6 +84,6 @@
             request.connection.transport.write(CONTINUE)
 
     def fail(self, kind, detail=""):
-        """Note and return the error that ended the reading."""
+        """Record and return the error."""
         self.fault = CallError(kind, detail)
         return self.fault
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/caller.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/caller.py
@@ -1,4 +1,4 @@
-"""The door for callers."""
+"""The HTTP listener for callers."""
 
 from papayabay_daemon._internal.doors.calls import CallDoor
 from papayabay_daemon._internal.doors.dialect import DefaultCallerDialect
@@ -8,16 +8,17 @@
 
 
 class CallerDoor(CallDoor):
-    """Takes callers' requests on the VM's address.
+    """Accepts callers' requests on the VM's address.
 
     Parameters
     ----------
     settings : DaemonSettings
     flow : CallFlow
     key_minter : callable or None
-        Returns a fresh home-bound idempotency key.
+        Returns a new idempotency key that names its home; None if this
+        daemon issues no keys.
     dialect : CallerDialect or None
-        None for papayabay's own.
+        None for the default one.
     """
 
     def __init__(self, settings, flow, key_minter=None, dialect=None):
@@ -27,12 +28,15 @@
         self.key_minter = key_minter
 
     async def run(self, incoming):
-        """Enter the request; a caller has no call to name."""
+        """Pass the request to the call flow, without a call token.
+
+        Only the target may name the call that it makes a request for.
+        """
         incoming.call_token = ""
         return await self.flow.handle_request(incoming)
 
     async def answer_reserved(self, request):
-        """Mint a home-bound key."""
+        """Return a new idempotency key."""
         if request.raw_path != KEYS_PATH or request.method != "POST":
             return await super().answer_reserved(request)
         if self.key_minter is None:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/dialect.py
@@ -1,4 +1,7 @@
-"""How callers and daemons talk where no platform says otherwise."""
+"""The default header fields and error answers between callers and daemons.
+
+A platform adapter can bring another `CallerDialect`.
+"""
 
 import json
 import math
@@ -19,9 +22,9 @@
 
 
 class DefaultCallerDialect:
-    """The `CallerDialect` of papayabay's own header fields."""
+    """The `CallerDialect` with papayabay's own header fields."""
 
-    names = rules.OWN_NAMES
+    names = rules.DEFAULT_NAMES
     reserved_prefix = "/.papayabay/"
 
     def read(self, method, path, fields):
@@ -51,11 +54,11 @@
         Parameters
         ----------
         error : CallError or Answer
-            An answer must have a `kind`; one with a body tells it already.
+            An answer must have a `kind`; one with a body is returned as is.
         request_headers : iterable of (str, str)
-            Fields to keep, such as the request's identifier.
+            Fields from which the request's identifier is copied.
         effect : Effect or None
-            Overrides the table where less is known than the table says.
+            Replaces the effect of `ERROR_ANSWERS` if less is known.
         """
         if isinstance(error, Answer) and (error.body.first or not error.body.whole):
             return error
@@ -80,7 +83,7 @@
         )
 
     def final_header_lines(self, answer):
-        """Return Via, and what is known of the effect."""
+        """Return the Via field and the field with the call's effect."""
         name, value = rules.VIA
         return f"{name}: {value}\r\n{EFFECT_HEADER}: {answer.effect.value}\r\n"
 
@@ -96,7 +99,7 @@
 
 
 def read_deadline(control):
-    """Return the caller's wish in milliseconds, or None."""
+    """Return the deadline that the caller requests, milliseconds, or None."""
     text = control.get(rules.DEADLINE_HEADER)
     if text is None:
         return None
@@ -109,7 +112,7 @@
 
 
 def read_token(control, name):
-    """Return an opaque value of printable ASCII, "" without one."""
+    """Return a field's value of printable ASCII, or "" if it is missing."""
     value = control.get(name)
     if value is None:
         return ""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/headers.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/headers.py
@@ -1,4 +1,4 @@
-"""Which header fields travel on, and which end at this hop."""
+"""Decides which header fields are forwarded and which are stripped here."""
 
 from dataclasses import dataclass, field
 from functools import lru_cache
@@ -10,7 +10,7 @@
 IDEMPOTENCY_HEADER = "idempotency-key"
 AUTHORIZATION_HEADER = "authorization"
 VIA = ("Via", "1.1 papayabay")
-UNAUTHORIZED = 401
+UNAUTHORIZED_STATUS = 401
 BEARER_CHALLENGE = ("WWW-Authenticate", "Bearer")
 
 HOP_BY_HOP = frozenset(
@@ -27,11 +27,12 @@
     }
 )
 
-# Expect is answered by the door itself, Host is replaced by the service.
-ENDS_HERE = HOP_BY_HOP | {"expect", "host"}
+# The door answers Expect itself; Host is replaced by the service.
+STRIPPED_FIELDS = HOP_BY_HOP | {"expect", "host"}
 
-# Two readers of a repeated one could each take another of its values.
-SINGLE = frozenset(
+# Fields that must not be repeated: two readers of a message could each use a
+# different one of the values.
+SINGLE_FIELDS = frozenset(
     {
         SERVICE_HEADER,
         DEADLINE_HEADER,
@@ -42,32 +43,32 @@
     }
 )
 
-NOTED = SINGLE | {"content-length"}
+INSPECTED_FIELDS = SINGLE_FIELDS | {"content-length"}
 
-# Fields without which a message would be read with another meaning; a
-# Connection field that names them is not obeyed.
+# Fields that change the meaning of a message; they are forwarded even if a
+# Connection field names them.
 NEVER_DROPPED = frozenset({"content-length", IDEMPOTENCY_HEADER})
 
-# How header bytes become text and text becomes bytes again: any byte
-# survives, UTF-8 or not.
-TEXT = ("utf-8", "surrogateescape")
+# Arguments of `decode` and `encode` for header bytes; they preserve any byte,
+# also where it is not valid UTF-8.
+HEADER_CODEC = ("utf-8", "surrogateescape")
 
-KNOWN_NAMES = 1_024
-MAX_KNOWN_NAME_BYTES = 64
+MAX_CACHED_NAMES = 1_024
+MAX_CACHED_NAME_BYTES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class FieldName:
-    """A field's name, and what becomes of the field.
+    """A field's name, and whether the field is forwarded.
 
     Attributes
     ----------
     text : str
-        As it came.
+        The name as received.
     key : str
-        In lower case.
+        The name in lower case.
     is_stripped : bool
-        Whether the field is left out of what travels on.
+        Whether the field is not forwarded.
     """
 
     text: str
@@ -76,41 +77,40 @@
 
 
 class HeaderNames:
-    """Which fields a message's writer and this hop treat specially.
+    """The header fields that get special treatment at this hop.
 
     Parameters
     ----------
     inspected : frozenset of str
         Lower-case names of fields that this hop reads.
     single : frozenset of str
-        Those that must not be repeated.
+        Lower-case names of fields that must not be repeated.
     is_stripped : callable
-        Takes a lower-case name; says whether the field is left out of what
-        travels on.
+        Takes a lower-case name; returns whether the field is not forwarded.
     """
 
     def __init__(self, inspected, single, is_stripped):
         self.inspected = inspected
         self.single = single
         self.is_stripped = is_stripped
-        # Messages repeat the same few names. Long names bypass the cache,
-        # which keeps what strangers can put into it small.
-        self.classify_known = lru_cache(maxsize=KNOWN_NAMES)(self.classify)
+        # Messages repeat the same few names. Long names bypass the cache, to
+        # limit the memory that clients can make it use.
+        self.classify_cached = lru_cache(maxsize=MAX_CACHED_NAMES)(self.classify)
 
     def classify(self, raw_name):
         """Return a raw name as `FieldName`."""
-        text = raw_name.decode(*TEXT)
+        text = raw_name.decode(*HEADER_CODEC)
         key = text.lower()
         return FieldName(text, key, self.is_stripped(key))
 
 
-def own_field_ends_here(key):
-    """Return whether a field is one of this hop's or of papayabay's."""
-    return key in ENDS_HERE or key.startswith(CONTROL_PREFIX)
+def is_stripped_by_default(key):
+    """Return whether a field is for this hop only or papayabay's own."""
+    return key in STRIPPED_FIELDS or key.startswith(CONTROL_PREFIX)
 
 
-OWN_NAMES = HeaderNames(NOTED, SINGLE, own_field_ends_here)
-classify_known = OWN_NAMES.classify_known
+DEFAULT_NAMES = HeaderNames(INSPECTED_FIELDS, SINGLE_FIELDS, is_stripped_by_default)
+classify_cached = DEFAULT_NAMES.classify_cached
 
 
 @dataclass(slots=True)
@@ -120,9 +120,9 @@
     Attributes
     ----------
     forwarded : list of (str, str)
-        Those that travel on, in order, names and values as they came.
+        Fields to forward, in order; names and values as received.
     inspected : dict of str to str
-        Those that this hop reads, by lower-case name.
+        Values of the fields that this hop reads, by lower-case name.
     connection : list of str
         Values of Connection fields.
     """
@@ -132,12 +132,12 @@
     connection: list[str] = field(default_factory=list)
 
 
-def filter_headers(raw_headers, names=OWN_NAMES):
-    """Return a message's header fields, those that end here left out.
+def filter_headers(raw_headers, names=DEFAULT_NAMES):
+    """Return a message's header fields, without those to strip.
 
-    Hop-by-hop fields (RFC 9110, section 7.6.1), those that a Connection
-    field names, and every field that daemons set themselves are left out:
-    nobody outside may set what daemons tell each other.
+    Hop-by-hop fields (RFC 9110, section 7.6.1), fields that a Connection
+    field names, and all fields that daemons set themselves are stripped.
+    Otherwise callers and targets could forge what daemons tell each other.
 
     Parameters
     ----------
@@ -151,15 +151,15 @@
     Raises
     ------
     ValueError
-        For a line break or NUL within a field, which a receiver or a link
+        For a line break or NUL within a value, which a receiver or a link
         would take for the start of another field, and for a repeated field
-        that must stand alone.
+        that must not be repeated.
     """
     fields = Fields()
     for raw_name, raw_value in raw_headers:
-        known = len(raw_name) <= MAX_KNOWN_NAME_BYTES
-        name = (names.classify_known if known else names.classify)(raw_name)
-        value = raw_value.decode(*TEXT)
+        known = len(raw_name) <= MAX_CACHED_NAME_BYTES
+        name = (names.classify_cached if known else names.classify)(raw_name)
+        value = raw_value.decode(*HEADER_CODEC)
         if "\n" in value or "\r" in value or "\0" in value:
             raise ValueError(f"{name.text} has a line break or NUL")
         if name.key in names.inspected:
@@ -176,7 +176,7 @@
 
 
 def drop_named(fields):
-    """Leave out the fields that a Connection field names."""
+    """Strip the fields that a Connection field names."""
     tokens = ",".join(fields.connection).split(",")
     named = {token.strip().lower() for token in tokens} - NEVER_DROPPED
     fields.forwarded = [
@@ -185,13 +185,13 @@
 
 
 def without_field(headers, name):
-    """Return the fields but those of one lower-case name."""
+    """Return the fields except those of one name, given in lower case."""
     return [item for item in headers if item[0].lower() != name]
 
 
 def challenge(status):
-    """Return the fields that a 401 must have (RFC 9110, section 15.5.2)."""
-    return [BEARER_CHALLENGE] if status == UNAUTHORIZED else []
+    """Return the fields that a 401 requires (RFC 9110, section 15.5.2)."""
+    return [BEARER_CHALLENGE] if status == UNAUTHORIZED_STATUS else []
 
 
 def declared_length(headers):
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/incoming.py
@@ -1,4 +1,4 @@
-"""What a door hands to the call flow."""
+"""Reads requests of callers and of the target for the call flow."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 from papayabay_core.calls import Answer, Body
 from papayabay_core.errors import CallError, Effect, ErrorKind
 from papayabay_daemon._internal.doors import headers as rules
-from papayabay_daemon._internal.doors.body import IncomingBody
+from papayabay_daemon._internal.doors.body import RequestBody
 
 
 @dataclass(slots=True)
@@ -17,28 +17,29 @@
     Attributes
     ----------
     service, method, path : str
-        Whom it is for; `path` is the origin form with the query. Without a
-        service, host and path select a route.
+        `path` is in origin form with the query. If `service` is empty, host
+        and path select a route.
     headers : list of (str, str)
         End-to-end fields in order, without Host and Papayabay fields.
     body : Body
     idempotency_key : str
         Empty without one.
     deadline_ms : int or None
-        The caller's own wish; may only shorten the request's life.
+        Deadline that the caller requests; it can only shorten the lifetime.
     call_token : str
-        From the target door only: the call this one is made for.
+        From the target door only: identifies the call for which the target
+        makes this request.
     host : str
-        Host of a request that is routed.
+        Host field of a request without a service.
     request_id : str
-        The caller's own identifier of this attempt; empty without one.
+        The caller's identifier of this attempt; empty without one.
     parent_id : str
-        That of the request which the own target makes this one for, if the
-        caller seems to name it; it may be anything.
+        Identifier of the request for which the target beside this daemon
+        seems to make this one. It comes from the caller and is not verified.
     authorization : str or None
-        Value of its Authorization field; None without one.
+        Value of the Authorization field; None without one.
     account : str
-        Name of its client account, once that is known.
+        Name of the client account, once it is authenticated.
     """
 
     service: str
@@ -57,14 +58,14 @@
 
 
 class CallerDialect(Protocol):
-    """How callers say what a request asks for, and hear how it ended.
+    """Translates between a platform's header fields and the daemon.
 
     Attributes
     ----------
     names : HeaderNames
-        Which header fields are read, and which end here.
+        Which header fields are read and which are stripped.
     reserved_prefix : str
-        Paths that the daemon itself answers begin so; empty for none.
+        Prefix of the paths that the daemon itself answers; empty for none.
     """
 
     names: rules.HeaderNames
@@ -82,17 +83,17 @@
         """Return the answer that reports an error to the caller."""
 
     def final_header_lines(self, answer: Answer) -> str:
-        """Return the header lines that end the head of each answer."""
+        """Return header lines to add at the end of each answer's head."""
 
 
 class CallFlow(Protocol):
-    """Takes what comes in; both methods are cancelled with the client."""
+    """Processes requests; both methods are cancelled if the client leaves."""
 
     async def handle_request(self, incoming: IncomingRequest) -> Answer:
         """Answer a caller's request; raises `CallError`."""
 
     async def handle_outgoing(self, incoming: IncomingRequest) -> Answer:
-        """Answer an outgoing call of the own target; raises `CallError`."""
+        """Answer an outgoing call of the target; raises `CallError`."""
 
 
 def bad_request(detail):
@@ -129,7 +130,7 @@
 
 
 async def read_incoming(request, limits, dialect):
-    """Return a request as `IncomingRequest`, and its body's state.
+    """Return a request as `IncomingRequest`, and the reader of its body.
 
     Parameters
     ----------
@@ -139,7 +140,7 @@
 
     Returns
     -------
-    IncomingRequest, IncomingBody
+    IncomingRequest, RequestBody
 
     Raises
     ------
@@ -150,10 +151,10 @@
     if request.method == "CONNECT":
         raise bad_request("CONNECT is not supported")
     incoming = dialect.read(request.method, read_path(request), fields)
-    state = IncomingBody(request, limits)
-    incoming.body = await state.read()
+    request_body = RequestBody(request, limits)
+    incoming.body = await request_body.read()
     if incoming.body.whole and "content-length" in fields.inspected:
-        # Recomputed from the body at hand; a streamed body keeps the length
-        # that it was announced with, since it passes on unchanged.
+        # Recomputed when the request is sent. A streamed body keeps its
+        # declared length, since it is forwarded unchanged.
         incoming.headers = rules.without_field(incoming.headers, "content-length")
-    return incoming, state
+    return incoming, request_body
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/protocol.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/protocol.py
@@ -1,4 +1,4 @@
-"""The HTTP server under each door."""
+"""Base class of the daemon's HTTP listeners."""
 
 import asyncio
 
@@ -12,21 +12,28 @@
 log = logbook.Logger("papayabay.doors")
 
 CLOSE_SECONDS = 0.5
-"""What a door waits for at its end; nothing runs any more after a drain."""
+"""How long `close` waits for cancelled requests; after a drain none run."""
 BACKLOG = 1024
 
 
 class Door:
-    """An HTTP listener; subclasses say how a request is answered.
+    """An HTTP listener; subclasses implement `answer`.
 
     Parameters
     ----------
     host : str
     port : int
-        0 takes any free one.
+        0 for any free port.
     limits : LimitSettings
     dialect : CallerDialect or None
-        None for papayabay's own.
+        None for the default one.
+
+    Attributes
+    ----------
+    stopping : bool
+        Whether each connection is closed after its next answer.
+    connections : set of ServerConnection
+        Open connections.
     """
 
     def __init__(self, host, port, limits, dialect=None):
@@ -40,7 +47,7 @@
         self.counters = dict.fromkeys(("requests", "refused"), 0)
 
     async def start(self):
-        """Listen; `port` is the real one afterwards."""
+        """Start to listen; sets `port` to the actual port."""
         self.server = await asyncio.get_running_loop().create_server(
             lambda: ServerConnection(self, self.limits),
             self.host,
@@ -50,30 +57,30 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def disable_keep_alive(self):
-        """End each connection after its next answer."""
+        """Close each connection after its next answer."""
         self.stopping = True
 
     async def stop_accepting(self):
-        """Take no new connections; open ones end after their next answer."""
+        """Accept no new connections; close open ones after their answer."""
         self.disable_keep_alive()
         if self.server is not None:
             server, self.server = self.server, None
             server.close()
 
     async def close(self):
-        """Close all connections; cancels what is still being answered."""
+        """Close all connections and cancel running requests."""
         await self.stop_accepting()
-        running = [
+        tasks = [
             exchange.task
             for connection in self.connections
-            for exchange in connection.begun
+            for exchange in connection.running
         ]
         for connection in list(self.connections):
             connection.transport.abort()
-        for task in running:
+        for task in tasks:
             task.cancel()
-        if running:
-            await asyncio.wait(running, timeout=CLOSE_SECONDS)
+        if tasks:
+            await asyncio.wait(tasks, timeout=CLOSE_SECONDS)
 
     async def respond(self, request):
         """Return the `DoorResponse` to a request."""
@@ -83,7 +90,7 @@
         except CallError as error:
             return self.refuse(error)
         except Exception as error:
-            log.error("door failed: {!r}", error)
+            log.error("Request failed, answering with an internal error: {!r}", error)
             return self.refuse(CallError(ErrorKind.INTERNAL), keep_alive=False)
         return DoorResponse(answer, self.dialect)
 
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/response.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/response.py
@@ -1,4 +1,4 @@
-"""Writing answers to HTTP clients."""
+"""Writes answers to HTTP clients."""
 
 import json
 import time
@@ -8,7 +8,7 @@
 from papayabay_core.calls import Answer, Body
 from papayabay_core.errors import Effect
 from papayabay_core.http.connection import BodyWriter
-from papayabay_daemon._internal.doors.headers import TEXT, declared_length
+from papayabay_daemon._internal.doors.headers import HEADER_CODEC, declared_length
 from papayabay_daemon._internal.doors.streaming import write_body
 
 STATUS_LINES = {
@@ -20,7 +20,7 @@
 
 
 class HttpDate:
-    """The Date header of the current second; formatting it costs much."""
+    """The Date header line, cached for a second as formatting it is slow."""
 
     def __init__(self):
         self.second = 0
@@ -39,20 +39,22 @@
 
 
 def json_answer(value, status=200):
-    """Return a JSON answer of the daemon's own."""
+    """Return an answer of the daemon with a JSON body."""
     body = json.dumps(value).encode()
     return Answer(status, [("Content-Type", "application/json")], Body(body))
 
 
 class DoorResponse:
-    """Writes one answer as it is: no header is added to or taken from it
-    but those of the connection, Date and what the dialect ends with.
+    """Writes one answer to a client.
+
+    The answer's header fields are sent unchanged, except for fields that
+    frame the body or concern the connection, Date, and the dialect's fields.
 
     Attributes
     ----------
     keep_alive : bool
-        Whether the connection takes another request.
-    """  # noqa: D205
+        Whether the connection accepts further requests after the answer.
+    """
 
     __slots__ = ("answer", "connection", "dialect", "keep_alive", "request")
 
@@ -72,21 +74,22 @@
         ----------
         connection : ServerConnection
         request : Request or None
-            None where no request could be read.
+            None if no request could be parsed.
         is_last : bool
-            Whether the connection ends with this answer.
+            Whether the connection is closed after this answer.
 
         Raises
         ------
         ConnectionError
-            When the client left, or the body could not be had to its end.
+            If the client closed the connection, or the answer's body failed
+            before its end.
         """
         self.connection = connection
         self.request = request
         self.keep_alive = self.keep_alive and not is_last
         try:
             if connection.closed or connection.transport.is_closing():
-                raise ConnectionResetError("the client left")
+                raise ConnectionResetError("the client closed the connection")
             if self.answer.body.whole:
                 connection.transport.write(self.whole_message())
             else:
@@ -97,24 +100,24 @@
                 await close()
 
     @property
-    def is_old(self):
-        """Whether the client speaks an HTTP before 1.1."""
+    def predates_http_1_1(self):
+        """Whether the client uses an HTTP version before 1.1."""
         return self.request is not None and self.request.version < "1.1"
 
     def has_body(self):
-        """Whether a body follows the head."""
+        """Return whether a body follows the head."""
         is_head = self.request is not None and self.request.method == "HEAD"
         return not is_head and self.answer.status not in WITHOUT_BODY
 
     def whole_message(self):
-        """Return head and body in one piece, so that one write sends both."""
+        """Return head and body together, so that one write sends both."""
         body = self.answer.body.first
         if self.has_body():
             return self.head(f"Content-Length: {len(body)}\r\n", False) + body
         return self.head("", self.answer.status != 204)
 
     async def write_stream(self):
-        """Write a body whose parts are still to come."""
+        """Write the head and a streamed body."""
         connection = self.connection
         if not self.has_body():
             connection.transport.write(self.head("", self.answer.status != 204))
@@ -122,7 +125,7 @@
         framing = ""
         length = declared_length(self.answer.headers)
         sized = length is not None
-        chunked = not sized and not self.is_old
+        chunked = not sized and not self.predates_http_1_1
         if chunked:
             framing = "Transfer-Encoding: chunked\r\n"
         elif not sized:
@@ -131,7 +134,7 @@
         try:
             await write_body(BodyWriter(connection, chunked), self.answer.body, length)
         except Exception as error:
-            raise ConnectionResetError("the answer broke off") from error
+            raise ConnectionResetError("the answer's body is incomplete") from error
 
     def head(self, framing, keep_length):
         """Return the status line and header fields as bytes."""
@@ -150,17 +153,17 @@
         lines.append(framing)
         if not self.keep_alive:
             lines.append("Connection: close\r\n")
-        elif self.is_old:
+        elif self.predates_http_1_1:
             lines.append("Connection: keep-alive\r\n")
         lines.append("\r\n")
-        return "".join(lines).encode(*TEXT)
+        return "".join(lines).encode(*HEADER_CODEC)
 
 
-def fault_answer(state, dialect):
-    """Return the answer to a request whose body could not be read whole.
+def body_error_answer(request_body, dialect):
+    """Return the answer to a request whose body could not be read.
 
-    Parts of it may have been handed over before the fault was seen. Then
-    nothing certain can be said of the effect, whatever the table says.
+    If parts of the body were streamed before the error, the request may have
+    run, so its effect is unknown, whatever `ERROR_ANSWERS` says.
     """
-    effect = Effect.UNKNOWN if state.handed_over else None
-    return dialect.render_error(state.fault, effect=effect)
+    effect = Effect.UNKNOWN if request_body.streaming_started else None
+    return dialect.render_error(request_body.fault, effect=effect)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/status.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/status.py
@@ -1,4 +1,4 @@
-"""The door for operators and metrics, on loopback."""
+"""The loopback HTTP listener for operators and metrics."""
 
 from papayabay_core.configuration import PROOF_HEADER, is_proven
 from papayabay_core.errors import CallError, ErrorKind
@@ -18,25 +18,26 @@
     ----------
     settings : DaemonSettings
     routes : dict of str to callable
-        Path to a coroutine function that takes the query (dict of str) and
-        returns a dict.
-    intakes : dict of str to callable
-        For POST: path to a coroutine function that takes the body (bytes)
-        and returns a dict; a `ProtocolError` is answered as BAD_REQUEST, as
-        is a body without the right proof of the cluster's secret.
+        Handlers of GET by path: coroutine functions that take the query
+        (dict of str) and return a dict.
+    post_routes : dict of str to callable
+        Handlers of POST by path: coroutine functions that take the body
+        (bytes) and return a dict. A `ProtocolError` is answered with
+        BAD_REQUEST, as is a body without a valid proof of the cluster's
+        secret.
     """
 
-    def __init__(self, settings, routes, intakes=None):
+    def __init__(self, settings, routes, post_routes=None):
         loopback = settings.loopback
         super().__init__(loopback.host, loopback.status_port, settings.limits)
         self.secret = settings.cluster.secret
         self.routes = routes
-        self.intakes = intakes or {}
+        self.post_routes = post_routes or {}
 
     async def answer(self, request):
-        """Return a view, or what became of a message."""
-        if request.method == "POST" and request.path in self.intakes:
-            return await self.take(request)
+        """Return the JSON answer of a route."""
+        if request.method == "POST" and request.path in self.post_routes:
+            return await self.handle_post(request)
         if request.method not in ("GET", "HEAD"):
             raise bad_request("this path of the status door only takes GET")
         view = self.routes.get(request.path)
@@ -44,18 +45,18 @@
             raise CallError(ErrorKind.UNKNOWN_SERVICE, "no such view")
         return json_answer(await view(request.query))
 
-    async def take(self, request):
-        """Hand over a message that an operator proves to have sent.
+    async def handle_post(self, request):
+        """Verify the proof of a message and pass it to its handler.
 
-        Any process on this VM reaches this door. Without the proof, one of
-        them could put a policy of its own in force in the whole fleet; one
-        would see versions that the store never had.
+        Any process on this VM can reach this door. Without the proof, one of
+        them could apply its own policy in the whole fleet, as a version that
+        the store never had.
         """
         content = await read_message(request, self.limits)
         proof = request.header(PROOF_FIELD)
         if not is_proven(self.secret, content, proof):
             raise bad_request(f"{PROOF_HEADER} is missing or wrong")
         try:
-            return json_answer(await self.intakes[request.path](content))
+            return json_answer(await self.post_routes[request.path](content))
         except ProtocolError as error:
             raise bad_request(str(error)) from None
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/streaming.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/streaming.py
@@ -1,29 +1,29 @@
-"""Writing a streamed body to a connection."""
+"""Writes a streamed body to a connection."""
 
 
 class LengthMismatch(ConnectionError):
-    """A body had more or fewer bytes than its Content-Length said."""
+    """A body was longer or shorter than its Content-Length."""
 
 
 async def write_body(writer, body, length):
-    """Write a body whose parts are still to come.
+    """Write a streamed body.
 
-    A body of another length than the head announced would shift the border
-    to the next message on a kept connection: somebody would get a piece of
-    another one's answer. The caller of this function has to break the
-    connection on any exception.
+    If its length differs from the one that the head declares, the receiver
+    would find the next message at the wrong place of the connection, and one
+    client could get a part of another's answer. The caller of this function
+    must reset the connection on any exception.
 
     Parameters
     ----------
     writer : BodyWriter
     body : Body
     length : int or None
-        What the head announced; None for a chunked body.
+        Length that the head declares; None for a chunked body.
 
     Raises
     ------
     LengthMismatch
-        Before a byte too many is written, or when some are missing.
+        If the body is too long, before the excess is written, or too short.
     """
     written = 0
     if body.first:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/target.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/doors/target.py
@@ -1,4 +1,4 @@
-"""The door for the target beside this daemon, on loopback."""
+"""The loopback HTTP listener for the target beside this daemon."""
 
 from papayabay_core.models import InvalidValues, Model, explain_faults
 from papayabay_daemon._internal.doors.body import read_message
@@ -13,7 +13,7 @@
 
 
 class TargetDoor(CallDoor):
-    """Takes the target's announcements and outgoing calls.
+    """Accepts the target's announcements and its outgoing calls.
 
     Parameters
     ----------
@@ -29,11 +29,11 @@
         self.target = target
 
     async def run(self, incoming):
-        """Make an outgoing call."""
+        """Pass an outgoing call to the call flow."""
         return await self.flow.handle_outgoing(incoming)
 
     async def answer_reserved(self, request):
-        """Announce or withdraw the target."""
+        """Register or withdraw the target."""
         route = (request.method, request.raw_path)
         if route == ("POST", ANNOUNCE_PATH):
             message = await self.read_message(request, AnnounceMessage)
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/__init__.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 connections of callers, on a library's parser."""
+"""Server side of HTTP/1.1 connections, on the parser of `httptools`."""
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/request.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/request.py
@@ -1,28 +1,29 @@
-"""A request as a door's connection parsed it."""
+"""A request as a server connection parsed it."""
 
 from urllib.parse import parse_qsl, unquote, urlsplit
 
 from papayabay_core.http.payload import Payload
 
 CONCURRENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-"""Safe methods (RFC 9110, section 9.2.1): their order makes no difference."""
+"""Safe methods (RFC 9110, section 9.2.1), which may run in any order."""
 
 
 class Request:
-    """One request; its body may still be on the way.
+    """One request, whose body may not have been received yet.
 
     Attributes
     ----------
     connection : ServerConnection
-    method, raw_path : str
-        The request target as it came.
+    method : str
+    raw_path : str
+        The request target as received.
     head : Head
     version : str
-        Of HTTP, such as ``"1.1"``.
+        HTTP version, such as ``"1.1"``.
     keep_alive : bool
-        Whether its client keeps the connection.
+        Whether the client allows further requests on the connection.
     payload : Payload or None
-        None without a body.
+        The body; None if the request has none.
     """
 
     __slots__ = (
@@ -56,14 +57,14 @@
 
     @property
     def is_read(self):
-        """Whether nothing of it is left to be read."""
+        """Whether the whole body was read, or there is none."""
         return self.payload is None or self.payload.at_end
 
     @property
     def is_concurrent(self):
-        """Whether it may run beside others of its connection."""
+        """Whether it may run concurrently with others of its connection."""
         return self.payload is None and self.method in CONCURRENT_METHODS
 
     def header(self, name):
-        """Return the first value of a field by its lower-case name, or ""."""
+        """Return a field's first value, or ""; `name` is in lower case."""
         return self.head.first.get(name, b"").decode("utf-8", "surrogateescape")
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
@@ -1,4 +1,4 @@
-"""A client's connection to a door: requests in, answers out in their order."""
+"""Server connections, which answer pipelined requests in order."""
 
 import asyncio
 from collections import deque
@@ -15,68 +15,69 @@
 KEEP_ALIVE_SECONDS = 75.0
 """How long a connection without a request stays open."""
 LINGER_SECONDS = 2.0
-"""How long bytes that come behind the last answer are still taken in. With
-bytes unread, closing resets the connection, and the answer may be lost."""
-WAITING = "waiting requests"
-"""What holds a connection on which too many requests wait to be begun."""
+"""How long data after the last answer is still read and discarded. Closing a
+socket with unread data resets the connection, and the answer may be lost."""
+QUEUE_HOLDER = "waiting requests"
+"""Pauses reading from a connection while too many requests are queued."""
 log = logbook.Logger("papayabay.doors")
 
 
 class Responder(Protocol):
-    """What a door gives to its connections.
+    """Answers the requests of connections; see `doors.protocol.Door`.
 
     Attributes
     ----------
     stopping : bool
-        Whether each connection ends after its next answer.
+        Whether each connection is closed after its next answer.
     connections : set of ServerConnection
-        Those that are open.
+        Open connections.
     """
 
     stopping: bool
     connections: set
 
     async def respond(self, request):
-        """Return the `DoorResponse` to a request; errors are answers too."""
+        """Return the `DoorResponse` to a request; does not raise."""
 
     def refuse(self, error):
         """Return the `DoorResponse` that reports a `CallError`."""
 
 
 class Exchange:
-    """A request and its answer, or a fault in place of both.
+    """A request to answer, or the error to answer malformed data with.
 
     Attributes
     ----------
     request : Request or None
-    fault : CallError or None
-        Why there is no request: what came could not be read as one.
+        None if the data could not be parsed as a request.
+    error : CallError or None
+        Why there is no request.
     task : asyncio.Task or None
-        None until it is begun.
+        None while the exchange is queued.
     turn : asyncio.Future or None
-        Set while an answer waits for those before it.
+        Done when earlier answers are sent; None unless the answer waits.
     """
 
-    __slots__ = ("fault", "request", "task", "turn")
+    __slots__ = ("error", "request", "task", "turn")
 
-    def __init__(self, request=None, fault=None):
+    def __init__(self, request=None, error=None):
         self.request = request
-        self.fault = fault
+        self.error = error
         self.task = None
         self.turn = None
 
     @property
     def is_concurrent(self):
-        """Whether it may run beside others of its connection."""
+        """Whether it may run concurrently with others of its connection."""
         return self.request is not None and self.request.is_concurrent
 
 
 class ServerConnection(FieldsReader, HttpConnection):
     """One client's connection, on which requests may be pipelined.
 
-    Safe requests without a body run at the same time, up to a bound, so that
-    a slow one holds up nobody's work behind it; all others run alone. Answers
-    leave in the order of the requests (RFC 9112, section 9.3.2).
+    Safe requests without a body run concurrently, up to a limit, so that a
+    slow one does not delay the work of those after it; all others run alone.
+    Answers are sent in the order of the requests (RFC 9112, section 9.3.2).
 
     Parameters
     ----------
@@ -85,52 +86,56 @@
 
     Attributes
     ----------
-    begun : deque of Exchange
-        Those without an answer yet, the oldest first.
+    running : deque of Exchange
+        Started exchanges whose answer is not sent yet, the oldest first.
     waiting : deque of Exchange
-        Those that were read and not begun.
+        Exchanges that have not started.
     deaf : bool
-        Whether what still comes is thrown away.
+        Whether further received data is discarded.
+    last_used : float
+        When a request was last received or answered, on the loop's clock.
+    timer : asyncio.TimerHandle or None
+        Closes an idle connection, or one that lingers after its last answer.
     """
 
     def __init__(self, responder, limits):
         super().__init__()
         self.responder = responder
-        self.most_begun = limits.pipelined_requests
+        self.max_running = limits.pipelined_requests
         self.header_bytes = limits.header_bytes
-        self.most_connections = limits.connections
+        self.max_connections = limits.connections
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
         self.request = None
-        self.begun = deque()
-        self.waiting = deque()
-        self.deaf = False
-        self.used_at = 0.0
+        self.running = deque()
+        self.queued = deque()
+        self.discarding = False
+        self.last_used = 0.0
         self.timer = None
 
-    # The connection's own life.
+    # Lifecycle of the connection.
 
     def connection_made(self, transport):
-        """Take a connection, or break it when too many are open.
+        """Register the connection, or abort it if too many are open.
 
-        Each costs memory while it is idle, too. Without a limit, clients
-        that open and never close would end the daemon, not just their own
-        service.
+        Idle connections cost memory too. Without a limit, clients that open
+        connections and never close them could exhaust the daemon's memory,
+        which would affect more than their own service.
         """
         super().connection_made(transport)
         self.responder.connections.add(self)
-        if len(self.responder.connections) > self.most_connections:
+        if len(self.responder.connections) > self.max_connections:
             transport.abort()
             return
         loop = asyncio.get_running_loop()
-        self.used_at = loop.time()
+        self.last_used = loop.time()
         self.timer = loop.call_later(KEEP_ALIVE_SECONDS, self.close_if_idle)
 
     def close_if_idle(self):
-        """Close a connection that was not used for long, or look later."""
+        """Close the connection if it is idle, or check again later."""
         loop = asyncio.get_running_loop()
-        left = self.used_at + KEEP_ALIVE_SECONDS - loop.time()
-        if self.begun:
+        left = self.last_used + KEEP_ALIVE_SECONDS - loop.time()
+        if self.running:
             left = KEEP_ALIVE_SECONDS
         if left > 0.0:
             self.timer = loop.call_later(left, self.close_if_idle)
@@ -138,42 +143,44 @@
             self.transport.close()
 
     def connection_lost(self, error):
-        """Cancel what runs for a client who has left."""
+        """Cancel all running requests of the client."""
         super().connection_lost(error)
         self.responder.connections.discard(self)
         if self.timer is not None:
             self.timer.cancel()
         self.parser = None
-        self.waiting.clear()
-        # A copy: an exchange that ends leaves the queue.
-        for exchange in list(self.begun):
+        self.queued.clear()
+        # A copy, since an exchange that ends is removed from the deque.
+        for exchange in list(self.running):
             exchange.task.cancel()
 
-    # What the parser reports.
+    # Called with received data, and by the parser.
 
     def data_received(self, data):
-        """Parse what came, and begin what may begin."""
-        if self.deaf:
+        """Parse received data; complete request heads start requests."""
+        if self.discarding:
             return
         within_head = self.in_head
         try:
             self.parse(data)
         except httptools.HttpParserError:
-            if not self.deaf:
-                self.spoil(CallError(ErrorKind.BAD_REQUEST, "the message is no HTTP"))
+            if not self.discarding:
+                self.handle_malformed(
+                    CallError(ErrorKind.BAD_REQUEST, "the message is no HTTP")
+                )
             return
         if within_head and self.in_head:
             self.head_bytes += len(data)
             if self.head_bytes > self.header_bytes:
-                self.spoil(CallError(ErrorKind.HEADERS_TOO_LARGE))
+                self.handle_malformed(CallError(ErrorKind.HEADERS_TOO_LARGE))
 
     def parse(self, data):
-        """Parse bytes; a wish for another protocol is passed over.
+        """Parse bytes and ignore requests to upgrade the protocol.
 
-        A server may ignore it (RFC 9110, section 7.8). The parser stops
-        behind such a request and goes on when it is fed again.
+        A server may ignore an Upgrade field (RFC 9110, section 7.8). The
+        parser stops after such a request and continues when it is fed again.
         """
-        while data and not self.deaf:
+        while data and not self.discarding:
             try:
                 self.parser.feed_data(data)
                 return
@@ -181,14 +188,14 @@
                 data = data[upgrade.args[0] :]
 
     def on_url(self, target):
-        """Take in a part of the request target."""
+        """Append a part of the request target."""
         self.target += target
 
     def on_headers_complete(self):
-        """Put the request in line, and begin it if it is its turn."""
+        """Queue the request, and start it if it may run now."""
         head = Head(self.end_head(), self.target)
         self.target = b""
-        if self.deaf:
+        if self.discarding:
             return
         parser = self.parser
         self.request = Request(
@@ -198,122 +205,134 @@
             parser.get_http_version(),
             parser.should_keep_alive(),
         )
-        self.used_at = asyncio.get_running_loop().time()
-        self.waiting.append(Exchange(self.request))
-        self.advance()
+        self.last_used = asyncio.get_running_loop().time()
+        self.queued.append(Exchange(self.request))
+        self.start_next()
 
     def on_body(self, data):
-        """Take in a part of the request's body."""
+        """Append a part of the request's body."""
         if self.request is not None and self.request.payload is not None:
             self.request.payload.feed(data)
 
     def on_message_complete(self):
-        """Note the end of a request."""
+        """Mark the request's body as complete."""
         request, self.request = self.request, None
         if request is None:
             return
         if request.payload is not None:
             request.payload.finish()
         if not request.keep_alive:
-            self.deaf = True
+            self.discarding = True
 
-    def spoil(self, error):
-        """Stop reading what can't be read; only that part of it is lost.
+    def handle_malformed(self, error):
+        """Stop parsing after malformed data; earlier requests are answered.
 
-        A request whose body was under way learns of it; otherwise the error
-        is answered in its turn, behind the requests that came before it.
+        If the body of a request was being received, its reader gets the
+        error. Otherwise the error is sent as an answer of its own, after the
+        answers to the earlier requests.
         """
-        self.deaf = True
+        self.discarding = True
         request = self.request
         if request is not None and request.payload is not None:
             request.payload.fail(error)
             return
-        self.waiting.append(Exchange(fault=error))
-        self.advance()
+        self.queued.append(Exchange(error=error))
+        self.start_next()
 
     # Requests in flight.
 
-    def advance(self):
-        """Begin the requests whose turn it is; read on if there is room."""
+    def start_next(self):
+        """Start queued requests that may run; pause reading if too many wait.
+
+        Reading resumes when fewer are queued.
+        """
         loop = asyncio.get_running_loop()
-        while self.waiting and self.may_begin(self.waiting[0]):
-            exchange = self.waiting.popleft()
-            self.begun.append(exchange)
+        while self.queued and self.may_start(self.queued[0]):
+            exchange = self.queued.popleft()
+            self.running.append(exchange)
             exchange.task = loop.create_task(self.serve(exchange))
-        if len(self.waiting) > self.most_begun:
-            self.hold(WAITING)
+        if len(self.queued) > self.max_running:
+            self.hold(QUEUE_HOLDER)
         elif self.holders:
-            self.release(WAITING)
+            self.release(QUEUE_HOLDER)
 
-    def may_begin(self, exchange):
-        """Whether an exchange may begin beside those that run.
+    def may_start(self, exchange):
+        """Return whether an exchange may start beside the running ones.
 
-        While the door stops, none begins behind another one: the answer
-        before it ends the connection, and tells its client that nothing
-        behind was read.
+        While the door is stopping, none starts behind another: the answer
+        before it closes the connection, which tells the client that later
+        requests were not processed.
         """
-        if not self.begun:
+        if not self.running:
             return True
         return (
             exchange.is_concurrent
             and not self.responder.stopping
-            and len(self.begun) < self.most_begun
-            and self.begun[-1].is_concurrent
+            and len(self.running) < self.max_running
+            and self.running[-1].is_concurrent
         )
 
     async def serve(self, exchange):
-        """Answer one request, when all before it were answered."""
+        """Run one request; send its answer after all earlier answers."""
         try:
-            if exchange.fault is None:
+            if exchange.error is None:
                 response = await self.responder.respond(exchange.request)
             else:
-                response = self.responder.refuse(exchange.fault)
-            if self.begun[0] is not exchange:
+                response = self.responder.refuse(exchange.error)
+            if self.running[0] is not exchange:
                 exchange.turn = asyncio.get_running_loop().create_future()
                 await exchange.turn
-            await response.send(self, exchange.request, self.ends_with(exchange))
+            await response.send(self, exchange.request, self.closes_after(exchange))
         except ConnectionError as error:
-            log.debug("answer not delivered: {!r}", error)
+            log.debug("Answer not delivered, connection reset: {!r}", error)
             self.reset()
             return
         except Exception as error:
-            # Whatever an answer holds that can't be written, its client must
-            # not wait for it, nor take a part of it for the whole.
-            log.error("answer not written: {!r}", error)
+            # If an answer can't be written, its client must neither wait for
+            # it nor take a part of it for the whole.
+            log.error(
+                "Failed to write an answer, resetting the connection: {!r}", error
+            )
             self.reset()
             return
-        self.answered(exchange, response.keep_alive)
+        self.finish_exchange(exchange, response.keep_alive)
 
-    def ends_with(self, exchange):
-        """Whether the connection ends with this exchange's answer.
+    def closes_after(self, exchange):
+        """Return whether the connection is closed after this answer.
 
-        What is left of a body that was not read would be taken for the next
-        request's head if the connection went on.
+        It must be if the request's body was not read completely: the rest
+        would be taken for the head of the next request.
         """
         request = exchange.request
         if request is None or not request.keep_alive or not request.is_read:
             return True
-        return self.responder.stopping and len(self.begun) == 1
+        return self.responder.stopping and len(self.running) == 1
 
-    def answered(self, exchange, keep_alive):
-        """Let the next one have its turn, or end the connection."""
-        self.begun.popleft()
-        self.used_at = asyncio.get_running_loop().time()
+    def finish_exchange(self, exchange, keep_alive):
+        """Let the next answer be sent, or close the connection."""
+        self.running.popleft()
+        self.last_used = asyncio.get_running_loop().time()
         if not keep_alive:
-            self.end(exchange.request)
+            self.close_after_answer(exchange.request)
             return
-        turn = self.begun[0].turn if self.begun else None
+        turn = self.running[0].turn if self.running else None
         if turn is not None and not turn.done():
             turn.set_result(None)
-        if self.waiting:
-            self.advance()
-
-    def end(self, request):
-        """Close the connection behind its last answer."""
-        wanted = request is not None and not request.keep_alive and request.is_read
-        self.deaf = True
-        self.waiting.clear()
-        if wanted or self.closed:
+        if self.queued:
+            self.start_next()
+
+    def close_after_answer(self, request):
+        """Close the connection after its last answer.
+
+        If the client may still send data, only the sending side is closed
+        first, and received data is discarded for `LINGER_SECONDS`.
+        """
+        client_is_done = (
+            request is not None and not request.keep_alive and request.is_read
+        )
+        self.discarding = True
+        self.queued.clear()
+        if client_is_done or self.closed:
             self.transport.close()
             return
         if self.holders:
--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/target/dialect.py
@@ -86,7 +86,7 @@
 class DefaultTargetDialect:
     """The `TargetDialect` with papayabay's own header fields."""
 
-    names = rules.OWN_NAMES
+    names = rules.DEFAULT_NAMES
 
     def request_head(self, call, call_token, announcement):
         """Return a call's request line and header fields as bytes."""
@@ -154,7 +154,7 @@
     lines = [f"{call.method} {call.path} HTTP/1.1\r\n", first_fields]
     lines += [f"{name}: {value}\r\n" for name, value in call.headers]
     lines += [last_fields, request_framing(call), "\r\n"]
-    return "".join(lines).encode(*rules.TEXT)
+    return "".join(lines).encode(*rules.HEADER_CODEC)
 
 
 def request_framing(call):
--- a/tests/unit/daemon/test_headers.py
+++ b/tests/unit/daemon/test_headers.py
@@ -1,3 +1,5 @@
+"""Which header fields are forwarded and which are stripped."""
+
 import unittest
 
 from papayabay_daemon._internal.doors import headers as rules
@@ -8,45 +10,44 @@
     return rules.filter_headers(raw).forwarded
 
 
-class EndToEndTests(unittest.TestCase):
-    def test_order_case_and_repetition_are_kept(self):
+class FilterHeadersTests(unittest.TestCase):
+    def test_order_case_and_repetition_are_preserved(self):
         fields = [("X-b", "1"), ("Set-Cookie", "a"), ("x-B", "2"), ("Set-Cookie", "b")]
         self.assertEqual(forwarded(fields), fields)
 
-    def test_hop_by_hop_fields_end_here(self):
+    def test_hop_by_hop_fields_are_stripped(self):
         names = ["TE", "Trailer", "Transfer-Encoding", "Upgrade", "Keep-Alive"]
         names += ["Proxy-Authorization", "Proxy-Connection", "Host", "Expect"]
         fields = [(name, "x") for name in names]
         self.assertEqual(forwarded([*fields, ("X-A", "1")]), [("X-A", "1")])
 
-    def test_fields_named_by_connection_end_here(self):
+    def test_fields_named_by_connection_are_stripped(self):
         fields = [("X-A", "1"), ("X-Hop", "2"), ("connection", "close, x-hop")]
         self.assertEqual(forwarded(fields), [("X-A", "1")])
 
     def test_connection_cannot_drop_the_idempotency_key(self):
-        """A key vanished on the way.
+        """An idempotency key was lost, so that the request could run twice.
 
-        A caller's proxy names Idempotency-Key in Connection; the field
-        would be dropped, and the request run again without protection.
+        A caller's proxy names Idempotency-Key in the Connection field.
         """
         fields = [("Idempotency-Key", "k"), ("Connection", "idempotency-key")]
         self.assertEqual(forwarded(fields), [("Idempotency-Key", "k")])
 
-    def test_control_fields_end_here(self):
+    def test_control_fields_are_stripped(self):
         names = ["Papayabay-Importance", "PAPAYABAY-CREDITS", "papayabay-rank"]
         self.assertEqual(forwarded([(name, "0") for name in names]), [])
 
     def test_a_line_break_within_a_field_is_refused(self):
-        """A target's answer grew a field that it did not send.
+        """An answer was sent with a field that the target did not set.
 
-        A lenient parser lets a bare line break through; written out, the
-        rest of the value is a field of its own.
+        A lenient parser accepts a bare line break in a value; when the value
+        is written, the rest of it becomes a field of its own.
         """
         for mark in "\n\r\0":
             with self.subTest(mark), self.assertRaises(ValueError):
                 forwarded([("X-A", f"1{mark}Set-Cookie: a=b")])
 
-    def test_names_cached_stay_small(self):
-        rules.classify_known.cache_clear()
+    def test_long_names_are_not_cached(self):
+        rules.classify_cached.cache_clear()
         forwarded([("X" * 65, "1")])
-        self.assertEqual(rules.classify_known.cache_info().currsize, 0)
+        self.assertEqual(rules.classify_cached.cache_info().currsize, 0)
--- a/tests/unit/daemon/test_http_serving.py
+++ b/tests/unit/daemon/test_http_serving.py
@@ -1,4 +1,4 @@
-"""Pipelined requests on a door's connections."""
+"""Pipelined requests on server connections."""
 
 import asyncio
 import unittest
@@ -32,16 +32,16 @@
 
 
 class Gates:
-    """A reply that waits, for each path, until the test opens it."""
+    """A reply function that blocks for each path until the test opens it."""
 
     def __init__(self):
-        self.begun = []
+        self.started = []
         self.opened = {}
         self.changed = asyncio.Condition()
 
     async def __call__(self, incoming):
         async with self.changed:
-            self.begun.append(incoming.path)
+            self.started.append(incoming.path)
             self.changed.notify_all()
             await self.changed.wait_for(lambda: self.opened.get(incoming.path))
         return await echo(incoming)
@@ -51,10 +51,10 @@
             self.opened[path] = True
             self.changed.notify_all()
 
-    async def wait_begun(self, *paths):
+    async def wait_started(self, *paths):
         async def wait():
             async with self.changed:
-                await self.changed.wait_for(lambda: set(paths) <= set(self.begun))
+                await self.changed.wait_for(lambda: set(paths) <= set(self.started))
 
         await bounded(wait())
 
@@ -68,51 +68,50 @@
         return reader, writer
 
     async def read_body(self, reader):
-        """Return the next answer's status and body."""
+        """Return the next answer's status, body and Connection field."""
         head = await bounded(reader.readuntil(b"\r\n\r\n"))
         lines = head.decode().lower().split("\r\n")
         fields = dict(line.split(": ", 1) for line in lines[1:] if line)
         body = await bounded(reader.readexactly(int(fields["content-length"])))
         return int(lines[0].split()[1]), body, fields.get("connection")
 
-    async def test_a_slow_request_holds_up_no_work_behind_it(self):
+    async def test_a_slow_request_does_not_delay_later_safe_requests(self):
         """Look-ups took twice as long as their tree of calls.
 
-        Sequence: a client sends three look-ups on one connection; the first
-        meets a slow upstream. Cause: the second was begun only when the
-        first had been answered.
+        A client pipelines three look-ups, the first of which has a slow
+        upstream. The second started only when the first was answered.
         """
         gates = Gates()
         reader, writer = await self.connect(gates)
         writer.write(get("/1") + get("/2") + get("/3"))
-        await gates.wait_begun("/1", "/2", "/3")
+        await gates.wait_started("/1", "/2", "/3")
         await gates.open("/3")
         await gates.open("/2")
         await gates.open("/1")
         got = [(await self.read_body(reader))[1] for _ in range(3)]
         self.assertEqual(got, [b"/1", b"/2", b"/3"])
 
-    async def test_others_than_safe_methods_run_alone(self):
+    async def test_requests_with_unsafe_methods_run_alone(self):
         gates = Gates()
         reader, writer = await self.connect(gates)
         writer.write(get("/1") + post("/2") + get("/3") + get("/4"))
-        await gates.wait_begun("/1")
+        await gates.wait_started("/1")
         await gates.open("/1")
-        await gates.wait_begun("/2")
-        self.assertEqual(gates.begun, ["/1", "/2"])
+        await gates.wait_started("/2")
+        self.assertEqual(gates.started, ["/1", "/2"])
         await gates.open("/2")
-        await gates.wait_begun("/3", "/4")
+        await gates.wait_started("/3", "/4")
         await gates.open("/3")
         await gates.open("/4")
         got = [(await self.read_body(reader))[1] for _ in range(4)]
         self.assertEqual(got, [b"/1", b"/2", b"/3", b"/4"])
 
-    async def test_no_more_run_at_once_than_the_bound(self):
+    async def test_the_number_of_concurrent_requests_is_limited(self):
         gates = Gates()
         reader, writer = await self.connect(gates, pipelined_requests=2)
         writer.write(b"".join(get(f"/{number}") for number in range(8)))
-        await gates.wait_begun("/0", "/1")
-        self.assertEqual(len(gates.begun), 2)
+        await gates.wait_started("/0", "/1")
+        self.assertEqual(len(gates.started), 2)
         for number in range(8):
             await gates.open(f"/{number}")
         got = [(await self.read_body(reader))[1] for _ in range(8)]
@@ -137,7 +136,7 @@
         writer.transport.abort()
         await bounded(left.wait())
 
-    async def test_nothing_behind_a_closing_request_is_begun(self):
+    async def test_requests_after_a_closing_one_are_not_started(self):
         reader, writer = await self.connect(echo)
         writer.write(get("/1") + get("/2", close=True) + get("/3"))
         got = [await self.read_body(reader) for _ in range(2)]
@@ -146,17 +145,17 @@
         self.assertEqual(await bounded(reader.read()), b"")
         self.assertEqual([seen.path for seen in self.flow.seen], ["/1", "/2"])
 
-    async def test_a_stopping_door_answers_what_was_begun_and_no_more(self):
-        """A request was handed to an upstream and never answered.
+    async def test_a_stopping_door_answers_only_started_requests(self):
+        """A request was passed to an upstream and never answered.
 
-        Sequence: three requests on a connection, the door stops, the first
-        is answered with `Connection: close`. Cause: a connection that ends
-        with that answer would cut off the two others.
+        With several requests on a connection, the door stops, and the first
+        answer has `Connection: close`. Closing after that answer would drop
+        the answers to the other started requests.
         """
         gates = Gates()
         reader, writer = await self.connect(gates)
         writer.write(get("/1") + get("/2"))
-        await gates.wait_begun("/1", "/2")
+        await gates.wait_started("/1", "/2")
         self.door.disable_keep_alive()
         writer.write(get("/3"))
         await gates.open("/1")
@@ -165,21 +164,21 @@
         self.assertEqual([body for _, body, _ in got], [b"/1", b"/2"])
         self.assertEqual([connection for _, _, connection in got], [None, "close"])
         self.assertEqual(await bounded(reader.read()), b"")
-        self.assertEqual(gates.begun, ["/1", "/2"])
+        self.assertEqual(gates.started, ["/1", "/2"])
 
-    async def test_malformed_bytes_spoil_only_themselves(self):
+    async def test_requests_before_malformed_bytes_are_answered(self):
         gates = Gates()
         reader, writer = await self.connect(gates)
         writer.write(get("/1") + b"what is this\r\n\r\n" + get("/2"))
-        await gates.wait_begun("/1")
+        await gates.wait_started("/1")
         await gates.open("/1")
         first, second = [await self.read_body(reader) for _ in range(2)]
         self.assertEqual(first[:2], (200, b"/1"))
         self.assertEqual((second[0], second[2]), (400, "close"))
         self.assertEqual(await bounded(reader.read()), b"")
-        self.assertEqual(gates.begun, ["/1"])
+        self.assertEqual(gates.started, ["/1"])
 
-    async def test_a_wish_for_another_protocol_is_passed_over(self):
+    async def test_a_protocol_upgrade_is_ignored(self):
         door = await self.open(FakeFlow(echo))
         fields = [("Upgrade", "h2c"), ("Connection", "Upgrade")]
         raw = request("/1", headers=fields, close=False) + get("/2", close=True)
@@ -187,7 +186,7 @@
         self.assertTrue(got.endswith(b"/2"))
         self.assertEqual(got.count(b"HTTP/1.1 200 "), 2)
 
-    async def test_an_old_client_that_keeps_its_connection(self):
+    async def test_an_http_1_0_client_with_keep_alive(self):
         door = await self.open(FakeFlow(echo))
         old = get("/1").replace(b"HTTP/1.1", b"HTTP/1.0")
         old = old.replace(b"\r\n\r\n", b"\r\nConnection: keep-alive\r\n\r\n")
@@ -196,7 +195,7 @@
         self.assertTrue(got.endswith(b"/2"))
 
 
-sent = st.tuples(
+sent_request = st.tuples(
     st.sampled_from(["GET", "POST", "chunked"]),
     st.integers(0, 5_000),
     st.integers(0, 3),
@@ -204,18 +203,21 @@
 
 
 class InterleavingTests(unittest.TestCase):
-    """Requests of any kind, cut into segments anywhere."""
+    """Random requests, split into segments at random places."""
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
     @given(
-        st.lists(sent, min_size=1, max_size=6),
+        st.lists(sent_request, min_size=1, max_size=6),
         st.lists(st.integers(1, 700), max_size=8),
         st.integers(0, 6),
     )
-    def test_answers_leave_in_the_order_of_the_requests(self, requests, cuts, leaving):
-        asyncio.run(bounded(self.play(requests, cuts, leaving)))
+    def test_answers_are_sent_in_the_order_of_the_requests(
+        self, requests, cuts, unread
+    ):
+        asyncio.run(bounded(self.run_case(requests, cuts, unread)))
 
-    async def play(self, requests, cuts, leaving):
+    async def run_case(self, requests, cuts, unread):
+        """Send the requests; do not read the last `unread` answers."""
         running = 0
 
         async def reply(incoming):
@@ -234,13 +236,13 @@
                 running -= 1
 
         door = await open_door(FakeFlow(reply))
-        raw, wanted = self.encode(requests)
+        raw, expected = self.encode(requests)
         reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
         try:
             for piece in pieces(raw, cuts):
                 writer.write(piece)
                 await asyncio.sleep(0)
-            answers = wanted[: len(wanted) - leaving] if leaving else wanted
+            answers = expected[: len(expected) - unread] if unread else expected
             for body in answers:
                 head = await reader.readuntil(b"\r\n\r\n")
                 length = int(head.lower().split(b"content-length: ")[1].split()[0])
@@ -255,7 +257,7 @@
 
     def encode(self, requests):
         """Return the requests' bytes, and the bodies of their answers."""
-        raw, wanted = b"", []
+        raw, expected = b"", []
         for number, (kind, size, turns) in enumerate(requests):
             path = f"/{number}/{turns}"
             if kind == "GET":
@@ -267,12 +269,12 @@
                 coded = b"%x\r\n%b\r\n" % (size, b"c" * size) if size else b""
                 head = [("Transfer-Encoding", "chunked")]
                 raw += request(path, "PUT", head, close=False) + coded + b"0\r\n\r\n"
-            wanted.append(f"{path} {size}".encode())
-        return raw, wanted
+            expected.append(f"{path} {size}".encode())
+        return raw, expected
 
 
 def pieces(raw, cuts):
-    """Yield bytes in pieces of the given sizes, the rest at last."""
+    """Yield pieces of the given sizes, then the rest."""
     for size in cuts:
         yield raw[:size]
         raw = raw[size:]
