--- a/tests/unit/daemon/door_fakes.py
+++ b/tests/unit/daemon/door_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes and raw HTTP helpers for the tests of doors and target client."""
+"""Fakes and raw HTTP helpers for tests of the doors and the target client."""
 
 import asyncio
 import time
@@ -29,7 +29,7 @@
 
 
 class FakeFlow:
-    """Answers by a function and keeps what came in."""
+    """A `CallFlow` that records requests and answers them by a function."""
 
     def __init__(self, reply=None):
         self.reply = reply
@@ -53,7 +53,7 @@
 
 
 async def exchange(port, data, end=None):
-    """Send raw bytes and return all that comes until the peer closes."""
+    """Send raw bytes; return what is received up to `end` or the close."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(data)
@@ -125,7 +125,7 @@
                 self.arrived.set()
                 await self.behave(reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            # The last is the test's end with a connection still open.
+            # CancelledError: the test ended with the connection still open.
             pass
         finally:
             writer.close()
@@ -141,14 +141,14 @@
 
 
 async def open_door(flow, key_minter=None, **limits):
-    """Return a callers' door; whoever opens it closes it."""
+    """Return a started door for callers; the caller must close it."""
     door = CallerDoor(settings(**limits), flow, key_minter)
     await door.start()
     return door
 
 
 class DoorTestCase(unittest.IsolatedAsyncioTestCase):
-    """Opens callers' doors, and asks at them."""
+    """Starts doors for callers and sends them requests."""
 
     async def open(self, flow, key_minter=None, **limits):
         door = await open_door(flow, key_minter, **limits)
--- a/tests/unit/daemon/test_doors_calls.py
+++ b/tests/unit/daemon/test_doors_calls.py
@@ -1,3 +1,5 @@
+"""Requests, answers and errors at the doors, over real connections."""
+
 import asyncio
 import json
 import unittest
@@ -16,8 +18,8 @@
 )
 
 
-class PassingTests(DoorTestCase):
-    async def test_request_passes_unchanged(self):
+class ForwardingTests(DoorTestCase):
+    async def test_request_is_forwarded_unchanged(self):
         flow = FakeFlow()
         headers = [("X-Odd-CASE", "é"), ("Accept-Encoding", "br"), ("X-A", "1, 2")]
         body = bytes(range(256))
@@ -28,7 +30,7 @@
         self.assertEqual(seen.headers, [*headers, ("Via", "1.1 papayabay")])
         self.assertEqual(seen.body.first, body)
 
-    async def test_answer_passes_unchanged(self):
+    async def test_answer_is_sent_unchanged(self):
         fields = [("Set-Cookie", "a=1"), ("X-q", "é"), ("Set-Cookie", "b=2")]
         fields.append(("Content-Encoding", "gzip"))
 
@@ -42,7 +44,7 @@
         self.assertFalse(names & {"server", "content-type"})
         self.assertIn(("Papayabay-Effect", "run"), got)
 
-    async def test_bytes_that_are_not_utf8_pass_both_ways(self):
+    async def test_header_bytes_that_are_not_utf8_are_preserved(self):
         async def reply(incoming):
             return Answer(200, incoming.headers)
 
@@ -86,7 +88,7 @@
         await self.ask(flow, one + one + last)
         self.assertEqual([seen.path for seen in flow.seen], ["/1", "/1", "/2"])
 
-    async def test_expect_continue_is_answered_here(self):
+    async def test_expect_continue_is_answered_by_the_door(self):
         door = await self.open(FakeFlow())
         reader, writer = await asyncio.open_connection("127.0.0.1", door.port)
         writer.write(
@@ -120,7 +122,7 @@
         self.assertEqual(flow.seen[0].headers, [("Via", "1.1 papayabay")])
         self.assertEqual(flow.seen[0].call_token, "")
 
-    async def test_service_header_goes_before_host(self):
+    async def test_service_header_takes_precedence_over_host(self):
         flow = FakeFlow()
         headers = [("Papayabay-Service", "other"), ("Idempotency-Key", "k1")]
         headers.append(("Papayabay-Deadline-Ms", "250"))
@@ -132,8 +134,8 @@
 
     async def test_malformed_control_fields_are_refused(self):
         cases = [("Papayabay-Service", "a/b"), ("Papayabay-Service", "")]
-        absurd = ["-1", "0", "1.5", "3600001", "x", "9" * 40]
-        cases += [("Papayabay-Deadline-Ms", value) for value in absurd]
+        invalid = ["-1", "0", "1.5", "3600001", "x", "9" * 40]
+        cases += [("Papayabay-Deadline-Ms", value) for value in invalid]
         cases.append(("Idempotency-Key", "k" * 256))
         for field in cases:
             with self.subTest(field):
@@ -187,7 +189,7 @@
         self.assertEqual(json.loads(body)["request"], "r9")
         self.assertNotIn("Retry-After", dict(got))
 
-    async def test_fault_of_papayabay_itself(self):
+    async def test_an_internal_error_has_unknown_effect_and_no_details(self):
         async def reply(incoming):
             raise RuntimeError("secret detail")
 
@@ -197,11 +199,11 @@
 
 
 class ConnectionTests(DoorTestCase):
-    async def test_half_an_answer_is_never_taken_for_whole(self):
-        """A caller took half a document for whole.
+    async def test_a_truncated_answer_resets_the_connection(self):
+        """A caller took half a document for a complete one.
 
-        The target breaks off in a streamed answer; closing the connection
-        in order would end a body without length.
+        The target fails in the middle of a streamed answer. A regular close
+        of the connection would mark the end of a body without length.
         """
 
         async def parts():
@@ -217,11 +219,11 @@
                 raw = request().replace(b"HTTP/1.1", version)
                 await exchange(door.port, raw)
 
-    async def test_answer_of_another_length_breaks_the_connection(self):
-        """A caller got a piece of another request's answer.
+    async def test_an_answer_of_the_wrong_length_resets_the_connection(self):
+        """A caller got a part of another request's answer.
 
-        A streamed answer ends early without an error; on the kept
-        connection, the next answer would be read as its missing part.
+        A streamed answer ends early without an error. If the connection
+        stayed open, the next answer would be read as the missing part.
         """
 
         async def parts():
@@ -238,11 +240,11 @@
                 with self.assertRaises(ConnectionResetError):
                     await exchange(door.port, request(close=False))
 
-    async def test_an_answer_that_cannot_be_written_breaks_the_connection(self):
-        """A client waited for an answer until its own time was up.
+    async def test_an_answer_that_cannot_be_written_resets_the_connection(self):
+        """A client waited for an answer until its own timeout.
 
-        A header value that is no text can't be written; the error ended the
-        task that answers, and nobody the connection.
+        A header value can't be encoded. The error ended the task that
+        answers, but nothing closed the connection.
         """
 
         async def reply(incoming):
--- a/tests/unit/daemon/test_doors_limits.py
+++ b/tests/unit/daemon/test_doors_limits.py
@@ -1,3 +1,5 @@
+"""Size limits of the doors, and ambiguous message lengths."""
+
 import asyncio
 import json
 
@@ -12,7 +14,7 @@
 
 
 class LimitTests(DoorTestCase):
-    async def test_headers(self):
+    async def test_too_large_headers_are_refused(self):
         for headers in (
             [("X-A", "a" * 5000)],
             [(f"X-{n}", "a" * 80) for n in range(60)],
@@ -23,18 +25,18 @@
             self.assertEqual(status, 431)
             self.assertIn(b"headers-too-large", body)
 
-    async def test_declared_length(self):
+    async def test_too_large_declared_length_is_refused(self):
         raw = request(method="POST", headers=[("Content-Length", "5000")])
         door = await self.open(FakeFlow(), body_bytes=2048)
         status, got, _ = parse(await exchange(door.port, raw, b"\r\n\r\n"))
         self.assertEqual((status, dict(got)["Papayabay-Effect"]), (413, "not-run"))
         self.assertEqual(dict(got)["Connection"], "close")
 
-    async def test_overrun_while_streaming_does_not_promise_not_run(self):
-        """A caller was told "not run" of a request that was begun.
+    async def test_limit_exceeded_while_streaming_has_unknown_effect(self):
+        """A caller got effect "not run" for a request that had started.
 
-        A chunked body passes the limit after its first part was handed to
-        the target. The table's promise for 413 would be untrue then.
+        A chunked body exceeds the limit after its first part was passed to
+        the target, so the default effect of a 413 does not hold.
         """
 
         async def reply(incoming):
@@ -57,10 +59,10 @@
 
 class SmugglingTests(DoorTestCase):
     async def test_ambiguous_lengths_are_refused_and_the_connection_closed(self):
-        """A second request hid in the body of the first.
+        """Request smuggling: a second request was hidden in a body.
 
-        Two readers of one message take different ends of its body, so that
-        a part of it is run as a request of somebody else.
+        Two readers of one message disagree on where its body ends, so that a
+        part of the body is run as another client's request.
         """
         chunked = ("Transfer-Encoding", "chunked")
         cases = {
@@ -81,7 +83,7 @@
                 self.assertEqual(flow.seen, [])
                 self.assertNotIn(b"HTTP/1.1", body)
 
-    async def test_bad_chunk(self):
+    async def test_malformed_chunk_is_refused_and_the_connection_closed(self):
         flow = FakeFlow()
         headers = [("Transfer-Encoding", "chunked")]
         raw = request(method="POST", headers=headers, close=False)
