--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/http/serving.py
@@ -252,9 +252,9 @@
             self.running.append(exchange)
             exchange.task = loop.create_task(self.serve(exchange))
         if len(self.queued) > self.max_running:
-            self.hold(QUEUE_HOLDER)
-        elif self.holders:
-            self.release(QUEUE_HOLDER)
+            self.pause_reading(QUEUE_HOLDER)
+        elif self.read_pauses:
+            self.resume_reading(QUEUE_HOLDER)
 
     def may_start(self, exchange):
         """Return whether an exchange may start beside the running ones.
