--- a/packages/papayabay-cli/src/papayabay_cli/account_sums.py
+++ b/packages/papayabay-cli/src/papayabay_cli/account_sums.py
@@ -6,11 +6,12 @@
 
 @dataclass(slots=True)
 class AccountSums:
-    """Requests, summed over the daemons that answered.
+    """Request counts, summed over the daemons that answered.
 
     Attributes
     ----------
     accounts : dict of str to Counter
+        By account, then by the outcome of its rate limit.
     keys : Counter
         By the outcome of authentication.
     """
@@ -19,19 +20,20 @@
     keys: Counter = field(default_factory=Counter)
 
     def add(self, report):
-        """Add one report, or the sums of many."""
+        """Add one daemon's report, or the sums of several reports."""
         for name, counts in report.get("accounts", {}).items():
             self.accounts.setdefault(name, Counter()).update(counts)
         self.keys.update(report.get("keys", {}))
 
 
 def sum_accounts(fleet):
-    """Return the `AccountSums` of a fleet's answer.
+    """Return the `AccountSums` of a fleet.
 
     Parameters
     ----------
     fleet : dict
-        ``heard`` or ``sums``, as a status door answers.
+        Answer of ``/fleet/accounts``: each daemon's report under ``heard``,
+        or the sums of a large fleet under ``sums``.
     """
     sums = AccountSums()
     for report in fleet.get("heard", {}).values():
--- a/packages/papayabay-cli/src/papayabay_cli/arguments.py
+++ b/packages/papayabay-cli/src/papayabay_cli/arguments.py
@@ -1,4 +1,4 @@
-"""Turns arguments, which come as strings, into values."""
+"""Parses command line arguments, which arrive as strings."""
 
 import os
 
@@ -6,32 +6,34 @@
 
 SETTINGS_VARIABLE = "PAPAYABAY_SETTINGS"
 SETTINGS_FILE = "papayabay.toml"
-MOST = 10**18
+MAX_NUMBER = 10**18
 
 
-def whole_number(text, name, least=0, most=MOST):
-    """Return the number written in an argument.
+def parse_number(text, name, minimum=0, maximum=MAX_NUMBER):
+    """Return the whole number in an argument.
 
     Raises
     ------
     UsageError
+        When the text is no decimal number from `minimum` to `maximum`.
     """
     text = str(text)
-    written = text.isascii() and text.isdecimal() and len(text) <= len(str(most))
-    if not (written and least <= int(text) <= most):
+    decimal = text.isascii() and text.isdecimal() and len(text) <= len(str(maximum))
+    if not (decimal and minimum <= int(text) <= maximum):
         raise UsageError(
-            f"{name}: '{text}' is not a whole number from {least} to {most}"
+            f"{name}: '{text}' is not a whole number from {minimum} to {maximum}"
         )
     return int(text)
 
 
-def operator_settings(path):
+def load_operator_settings(path):
     """Return the settings of the command line.
 
     Parameters
     ----------
     path : str or None
-        None takes the file that the environment names, or the default.
+        None for the file that ``PAPAYABAY_SETTINGS`` names, or else the
+        default file.
 
     Raises
     ------
@@ -39,5 +41,5 @@
     """
     from papayabay_core.settings import OperatorSettings, load_settings
 
-    found = path or os.environ.get(SETTINGS_VARIABLE) or SETTINGS_FILE
-    return load_settings(found, OperatorSettings)
+    chosen = path or os.environ.get(SETTINGS_VARIABLE) or SETTINGS_FILE
+    return load_settings(chosen, OperatorSettings)
--- a/packages/papayabay-cli/src/papayabay_cli/changes.py
+++ b/packages/papayabay-cli/src/papayabay_cli/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the policy, written for people."""
+"""Lists what differs between two policies, key by key."""
 
 import json
 from dataclasses import dataclass
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One key that differs between two documents.
+    """One key that differs between two policy documents.
 
     Attributes
     ----------
     key : str
-        Dotted.
+        Dotted path of the key.
     old, new : object
-        Plain values; None where the key is not set.
+        JSON-compatible values; None where the key is not set.
     """
 
     key: str
@@ -25,15 +25,15 @@
     new: object
 
     def __str__(self):
-        return f"{self.key}: {written(self.old)} → {written(self.new)}"
+        return f"{self.key}: {format_value(self.old)} → {format_value(self.new)}"
 
     def values(self):
-        """Return it as plain values."""
+        """Return the change as a JSON-compatible dict."""
         return {"key": self.key, "old": self.old, "new": self.new}
 
 
 def list_changes(old, new, patch):
-    """Return the changes that a merge patch makes, in its order."""
+    """Return the changes that a merge patch makes, in the patch's order."""
     return [
         Change(key, value_at(old, key), value_at(new, key))
         for key in changed_keys(patch)
@@ -41,7 +41,7 @@
 
 
 def value_at(values, dotted):
-    """Return the member at a dotted key, or None."""
+    """Return the value at a dotted key, or None."""
     for name in dotted.split("."):
         if not isinstance(values, dict):
             return None
@@ -49,13 +49,13 @@
     return values
 
 
-def written(value):
-    """Return a value as people read it."""
+def format_value(value):
+    """Return a value as JSON text, or a note that it is not set."""
     return NOT_SET if value is None else json.dumps(value, ensure_ascii=False)
 
 
 def patch_summary(patch):
-    """Return what a patch did, as plain values."""
+    """Return a patch's author, time and changed keys as a dict."""
     return {
         "version": patch.version,
         "patch_id": patch.patch_id,
--- a/packages/papayabay-cli/src/papayabay_cli/commands/apply.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/apply.py
@@ -32,16 +32,16 @@
         json : bool
             Print the result as JSON instead.
         """
-        from papayabay_cli.arguments import operator_settings, whole_number
+        from papayabay_cli.arguments import load_operator_settings, parse_number
         from papayabay_cli.files import load_policy_values
         from papayabay_cli.results import result_values, show_result
         from papayabay_cli.store import run_with_log
 
-        base = whole_number(expect, "--expect")
+        base = parse_number(expect, "--expect")
         values = load_policy_values(file)
         author = author or user_name()
 
-        operator = operator_settings(settings)
+        operator = load_operator_settings(settings)
 
         async def work(log):
             return await submit(log, base, values, author, message, operator)
--- a/packages/papayabay-cli/src/papayabay_cli/commands/explain.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/explain.py
@@ -31,11 +31,11 @@
         json : bool
             Print it as JSON instead.
         """
-        from papayabay_cli.arguments import whole_number
+        from papayabay_cli.arguments import parse_number
         from papayabay_cli.explanation import is_default_rule
         from papayabay_cli.store import run_with_log
 
-        number = None if version is None else whole_number(version, "--version")
+        number = None if version is None else parse_number(version, "--version")
 
         async def work(log):
             return await explain(log, number, service, method.upper(), path)
@@ -77,9 +77,9 @@
 
 def fact_row(fact, origins):
     """Return the cells of one fact."""
-    from papayabay_cli.changes import written
+    from papayabay_cli.changes import format_value
 
-    value = fact.value if isinstance(fact.value, str) else written(fact.value)
+    value = fact.value if isinstance(fact.value, str) else format_value(fact.value)
     origin = origins[fact.key].text if fact.key else "default"
     return fact.name, value, fact.key or "-", origin
 
--- a/packages/papayabay-cli/src/papayabay_cli/commands/history.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/history.py
@@ -1,10 +1,10 @@
-"""`history`: list the newest patches."""
+"""`history`: lists the newest patches."""
 
 from papayabay_cli.output import format_time, print_json, print_table
 
 HEADINGS = ("VERSION", "COMMITTED (UTC)", "AUTHOR", "CHANGED", "MESSAGE")
 KEYS_SHOWN = 3
-MOST = 1_000
+MAX_LIMIT = 1_000
 
 
 class HistoryCommand:
@@ -18,20 +18,20 @@
         Parameters
         ----------
         limit : int
-            Most that are listed, up to 1000.
+            Maximum number of patches listed, up to 1000.
         settings : str
             Settings file; default papayabay.toml, or $PAPAYABAY_SETTINGS.
         json : bool
             Print them as JSON instead, with all keys.
         """
-        from papayabay_cli.arguments import whole_number
+        from papayabay_cli.arguments import parse_number
         from papayabay_cli.changes import patch_summary
         from papayabay_cli.store import run_with_log
 
-        most = whole_number(limit, "--limit", least=1, most=MOST)
+        count = parse_number(limit, "--limit", minimum=1, maximum=MAX_LIMIT)
 
         async def work(log):
-            return await log.patches_after(max(0, await log.head() - most), most)
+            return await log.patches_after(max(0, await log.head() - count), count)
 
         patches = reversed(run_with_log(settings, work))
         summaries = [patch_summary(patch) for patch in patches]
@@ -44,7 +44,7 @@
 
 
 def history_row(summary):
-    """Return the cells of one patch."""
+    """Return the table cells of one patch."""
     keys = summary["keys"]
     more = len(keys) - KEYS_SHOWN
     shown = ", ".join(keys[:KEYS_SHOWN]) + (f" and {more} more" if more > 0 else "")
--- a/packages/papayabay-cli/src/papayabay_cli/commands/quarantine_lift.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/quarantine_lift.py
@@ -18,12 +18,12 @@
         settings : str
             Settings file; default papayabay.toml, or $PAPAYABAY_SETTINGS.
         """
-        from papayabay_cli.arguments import operator_settings
+        from papayabay_cli.arguments import load_operator_settings
         from papayabay_cli.daemons import lift_request
         from papayabay_cli.errors import UsageError
 
         # An argument of digits alone comes as a number.
         text = str(fingerprint).strip()
-        if not lift_request(operator_settings(settings), text):
+        if not lift_request(load_operator_settings(settings), text):
             raise UsageError(f"{text}: nothing is held back under it")
         print(f"{text} is held back no longer")
--- a/packages/papayabay-cli/src/papayabay_cli/commands/quarantine_list.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/quarantine_list.py
@@ -23,10 +23,10 @@
         json : bool
             Print the list as JSON instead.
         """
-        from papayabay_cli.arguments import operator_settings
+        from papayabay_cli.arguments import load_operator_settings
         from papayabay_cli.daemons import ask_fleet
 
-        (page,) = ask_fleet(operator_settings(settings), "/quarantine")
+        (page,) = ask_fleet(load_operator_settings(settings), "/quarantine")
         if json:
             print_json(page)
             return
--- a/packages/papayabay-cli/src/papayabay_cli/commands/report_burn.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/report_burn.py
@@ -44,11 +44,13 @@
         from papayabay_cli.burn.recording import load_recording
 
         return load_recording(from_file)
-    from papayabay_cli.arguments import operator_settings
+    from papayabay_cli.arguments import load_operator_settings
     from papayabay_cli.burn.recording import record_fleet
     from papayabay_cli.daemons import ask_fleet
 
-    fleet, policy = ask_fleet(operator_settings(settings), "/fleet/burn", "/policy")
+    fleet, policy = ask_fleet(
+        load_operator_settings(settings), "/fleet/burn", "/policy"
+    )
     return record_fleet(fleet, policy)
 
 
--- a/packages/papayabay-cli/src/papayabay_cli/commands/settle.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/settle.py
@@ -23,11 +23,11 @@
         json : bool
             Print the result as JSON instead.
         """
-        from papayabay_cli.arguments import whole_number
+        from papayabay_cli.arguments import parse_number
         from papayabay_cli.results import result_values, show_result
         from papayabay_cli.store import run_with_log
 
-        number = whole_number(base, "--base")
+        number = parse_number(base, "--base")
 
         async def work(log):
             return await log.settle(patch_id, number)
--- a/packages/papayabay-cli/src/papayabay_cli/commands/show.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/show.py
@@ -21,11 +21,11 @@
         json : bool
             Print version and values as JSON instead of TOML.
         """
-        from papayabay_cli.arguments import whole_number
+        from papayabay_cli.arguments import parse_number
         from papayabay_cli.store import load_version, run_with_log
         from papayabay_cli.toml_writer import to_toml
 
-        number = None if version is None else whole_number(version, "--version")
+        number = None if version is None else parse_number(version, "--version")
 
         async def work(log):
             return await load_version(log, number)
--- a/packages/papayabay-cli/src/papayabay_cli/commands/status.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/status.py
@@ -24,11 +24,11 @@
         all : bool
             Show every daemon in full, however many they are.
         """
-        from papayabay_cli.arguments import operator_settings
+        from papayabay_cli.arguments import load_operator_settings
         from papayabay_cli.daemons import ask_every_daemon, ask_fleet
         from papayabay_cli.fleet_status import print_fleet
 
-        chosen = operator_settings(settings)
+        chosen = load_operator_settings(settings)
         if all:
             fleet = ask_every_daemon(chosen)
         else:
--- a/packages/papayabay-cli/src/papayabay_cli/store.py
+++ b/packages/papayabay-cli/src/papayabay_cli/store.py
@@ -3,7 +3,7 @@
 import asyncio
 from contextlib import asynccontextmanager
 
-from papayabay_cli.arguments import operator_settings
+from papayabay_cli.arguments import load_operator_settings
 from papayabay_cli.errors import UsageError
 from papayabay_cli.output import note
 from papayabay_core.configuration import ConfigurationLog
@@ -36,7 +36,7 @@
     work : callable
         Takes the log.
     """
-    settings = operator_settings(settings_path)
+    settings = load_operator_settings(settings_path)
 
     async def run():
         async with open_log(settings) as log:
