--- a/packages/papayabay-cli/src/papayabay_cli/commands/accounts_list.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/accounts_list.py
@@ -34,11 +34,11 @@
         """
         from papayabay_cli.account_sums import sum_accounts
         from papayabay_cli.arguments import load_operator_settings
-        from papayabay_cli.daemons import ask_fleet
+        from papayabay_cli.daemons import query_fleet
         from papayabay_cli.fleet_status import print_not_heard
 
         paths = "/fleet/accounts", "/policy"
-        fleet, policy = ask_fleet(load_operator_settings(settings), *paths)
+        fleet, policy = query_fleet(load_operator_settings(settings), *paths)
         declared = policy["values"].get("accounts", {})
         sums = sum_accounts(fleet)
         accounts = {
--- a/packages/papayabay-cli/src/papayabay_cli/commands/check.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/check.py
@@ -3,7 +3,7 @@
 from papayabay_cli import exits
 from papayabay_cli.errors import UsageError
 from papayabay_cli.files import FileKind, kind_of, parse_toml, read_text
-from papayabay_cli.output import note, print_json
+from papayabay_cli.output import print_json, print_note
 from papayabay_core.exceptions import PapayabayError
 
 
@@ -69,6 +69,6 @@
     """Print one line per valid file; errors go to standard error."""
     for result in results:
         if result["errors"]:
-            note("\n".join(result["errors"]))
+            print_note("\n".join(result["errors"]))
         else:
             print(f"{result['file']}: valid {result['kind']}")
--- a/packages/papayabay-cli/src/papayabay_cli/commands/quarantine_list.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/quarantine_list.py
@@ -24,9 +24,9 @@
             Print the list as JSON instead.
         """
         from papayabay_cli.arguments import load_operator_settings
-        from papayabay_cli.daemons import ask_fleet
+        from papayabay_cli.daemons import query_fleet
 
-        (page,) = ask_fleet(load_operator_settings(settings), "/quarantine")
+        (page,) = query_fleet(load_operator_settings(settings), "/quarantine")
         if json:
             print_json(page)
             return
--- a/packages/papayabay-cli/src/papayabay_cli/commands/report_burn.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/report_burn.py
@@ -1,6 +1,6 @@
 """`report burn`: say how fast error budgets are spent, and by what."""
 
-from papayabay_cli.output import note, print_json
+from papayabay_cli.output import print_json, print_note
 
 
 class ReportBurnCommand:
@@ -46,9 +46,9 @@
         return load_recording(from_file)
     from papayabay_cli.arguments import load_operator_settings
     from papayabay_cli.burn.recording import record_fleet
-    from papayabay_cli.daemons import ask_fleet
+    from papayabay_cli.daemons import query_fleet
 
-    fleet, policy = ask_fleet(
+    fleet, policy = query_fleet(
         load_operator_settings(settings), "/fleet/burn", "/policy"
     )
     return record_fleet(fleet, policy)
@@ -70,4 +70,4 @@
         Path(path).write_text(make_page(report), encoding="utf-8")
     except OSError as error:
         raise UsageError(f"{path}: {error.strerror}") from None
-    note(f"written: {path}")
+    print_note(f"written: {path}")
--- a/packages/papayabay-cli/src/papayabay_cli/commands/status.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/status.py
@@ -25,14 +25,14 @@
             Show every daemon in full, however many they are.
         """
         from papayabay_cli.arguments import load_operator_settings
-        from papayabay_cli.daemons import ask_every_daemon, ask_fleet
+        from papayabay_cli.daemons import query_all_daemons, query_fleet
         from papayabay_cli.fleet_status import print_fleet
 
         chosen = load_operator_settings(settings)
         if all:
-            fleet = ask_every_daemon(chosen)
+            fleet = query_all_daemons(chosen)
         else:
-            (fleet,) = ask_fleet(chosen, "/fleet/status")
+            (fleet,) = query_fleet(chosen, "/fleet/status")
         if json:
             print_json(fleet)
         else:
--- a/packages/papayabay-cli/src/papayabay_cli/daemons.py
+++ b/packages/papayabay-cli/src/papayabay_cli/daemons.py
@@ -1,4 +1,4 @@
-"""Asks the fleet through one daemon's status door."""
+"""Sends HTTP requests to the daemons' status URLs."""
 
 import asyncio
 from urllib.parse import quote
@@ -6,23 +6,25 @@
 import aiohttp
 
 from papayabay_cli.errors import DaemonsUnreachable, UsageError
-from papayabay_cli.output import note
+from papayabay_cli.output import print_note
 from papayabay_core.configuration import PROOF_HEADER, encode_patches, prove_patches
 
-TIMEOUT = aiohttp.ClientTimeout(total=60.0, connect=2.0)
+QUERY_TIMEOUT = aiohttp.ClientTimeout(total=60.0, connect=2.0)
+"""In seconds; the daemon that answers asks all others first."""
 POST_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
+"""In seconds."""
 PATCHES = "/configuration/patches"
 LIFT = "/quarantine/lift"
 
 
-def ask_fleet(settings, *paths):
-    """Return the JSON answers of the first daemon that gives them all.
+def query_fleet(settings, *paths):
+    """Return the JSON answers of the first daemon that answers all paths.
 
     Parameters
     ----------
     settings : OperatorSettings
     *paths : str
-        Paths at the status door, such as ``/fleet/status``.
+        Paths below a status URL, such as ``/fleet/status``.
 
     Returns
     -------
@@ -31,40 +33,44 @@
     Raises
     ------
     UsageError
-        When the settings name no status door.
+        When the settings name no status URL.
     DaemonsUnreachable
-        Says of each one why not.
+        With the cause of the failure at each status URL.
     """
     if not settings.status_urls:
-        raise UsageError("settings: status_urls: name the status door of a daemon")
-    return asyncio.run(ask_first(settings.status_urls, paths))
+        raise UsageError(
+            "settings: status_urls: empty; the status URL of a daemon is needed"
+        )
+    return asyncio.run(fetch_from_first(settings.status_urls, paths))
 
 
-def ask_every_daemon(settings):
-    """Return the status pages of all daemons, however many.
+def query_all_daemons(settings):
+    """Return the status pages of all daemons, fetched in pages of 200.
 
     Returns
     -------
     dict
-        ``heard`` and ``not_heard``, put together of pages of 200 daemons.
+        ``heard`` and ``not_heard``, merged over all pages.
     """
     fleet = {"heard": {}, "not_heard": {}}
     after = ""
     while after is not None:
-        (page,) = ask_fleet(settings, f"/fleet/status?after={quote(after, safe='')}")
+        (page,) = query_fleet(settings, f"/fleet/status?after={quote(after, safe='')}")
         for name, entries in fleet.items():
             entries.update(page.get(name, {}))
         following = page.get("next")
         if following is not None and not str(following) > after:
-            raise DaemonsUnreachable("the list of daemons does not go on")
+            raise DaemonsUnreachable(
+                "/fleet/status: the next page does not start after this one"
+            )
         after = following
     return fleet
 
 
-async def ask_first(urls, paths):
-    """Ask one status door after the other."""
+async def fetch_from_first(urls, paths):
+    """Return the answers of the first status URL that answers all paths."""
     causes = []
-    async with aiohttp.ClientSession(timeout=TIMEOUT) as session:
+    async with aiohttp.ClientSession(timeout=QUERY_TIMEOUT) as session:
         for url in urls:
             try:
                 return [await fetch(session, url, path) for path in paths]
@@ -74,18 +80,18 @@
 
 
 async def fetch(session, url, path):
-    """Return the JSON object at a path of a status door."""
-    async with session.get(url.rstrip("/") + path) as answer:
-        if answer.status != 200:
-            raise ValueError(f"{path} answered {answer.status}")
-        content = await answer.json(content_type=None)
+    """Return the JSON object at a path below a status URL."""
+    async with session.get(url.rstrip("/") + path) as response:
+        if response.status != 200:
+            raise ValueError(f"{path} answered with HTTP status {response.status}")
+        content = await response.json(content_type=None)
     if not isinstance(content, dict):
         raise ValueError(f"{path} did not answer with a JSON object")
     return content
 
 
 def lift_request(settings, fingerprint):
-    """Release a request from quarantine; return whether it was there.
+    """Release a request from quarantine; return whether it was quarantined.
 
     Parameters
     ----------
@@ -95,49 +101,54 @@
     Raises
     ------
     UsageError
-        When the settings name no status door or no secret.
+        When the settings name no status URL or no cluster secret.
     DaemonsUnreachable
-        Says of each one why not.
+        With the cause of the failure at each status URL.
     """
     if not settings.status_urls or settings.cluster_secret is None:
-        raise UsageError("settings: status_urls and cluster_secret are needed")
+        raise UsageError("settings: status_urls and cluster_secret must be set")
     return asyncio.run(post_lift(settings, fingerprint.encode()))
 
 
 async def post_lift(settings, content):
-    """Give a fingerprint to the first daemon that takes it."""
+    """Send a fingerprint to the first daemon that accepts it."""
     headers = {PROOF_HEADER: prove_patches(settings.cluster_secret, content)}
     causes = []
     async with aiohttp.ClientSession(timeout=POST_TIMEOUT) as session:
         for url in settings.status_urls:
             try:
                 target = url.rstrip("/") + LIFT
-                async with session.post(target, data=content, headers=headers) as got:
-                    if got.status == 200:
-                        return (await got.json(content_type=None))["lifted"]
-                    causes.append(f"{url}: answered {got.status}")
+                async with session.post(
+                    target, data=content, headers=headers
+                ) as response:
+                    if response.status == 200:
+                        return (await response.json(content_type=None))["lifted"]
+                    causes.append(f"{url}: answered with HTTP status {response.status}")
             except (aiohttp.ClientError, OSError, TimeoutError) as error:
                 causes.append(f"{url}: {str(error) or type(error).__name__}")
-    raise DaemonsUnreachable(f"no daemon took it: {'; '.join(causes)}")
+    raise DaemonsUnreachable(f"no daemon accepted the request: {'; '.join(causes)}")
 
 
 async def post_patch(urls, patch, secret):
-    """Give a committed patch to the first daemon that takes it.
+    """Send a committed patch to the first daemon that accepts it.
 
-    That none does is no failure: the patch is stored, and the daemons that
-    read the store will find it there. Daemons only take what comes with a
-    proof of the cluster's secret.
+    It is no error if no daemon accepts the patch: it is stored already, and
+    the daemons that poll the store will find it there. Daemons only accept
+    patches with a proof of the cluster's secret.
 
     Parameters
     ----------
     urls : list of str
-        Status doors.
+        Status URLs.
     patch : Patch
     secret : str or None
-        The cluster's; without it no daemon is asked.
+        The cluster's secret; None sends the patch to no daemon.
     """
     if secret is None:
-        note("settings: no cluster_secret; the daemons will read it from the store")
+        print_note(
+            "settings: cluster_secret is not set, so the patch was sent to no daemon; "
+            "the daemons will read it from the store"
+        )
         return
     content = encode_patches([patch])
     headers = {PROOF_HEADER: prove_patches(secret, content)}
@@ -145,9 +156,14 @@
         for url in urls:
             try:
                 target = url.rstrip("/") + PATCHES
-                async with session.post(target, data=content, headers=headers) as got:
-                    if got.status == 200:
+                async with session.post(
+                    target, data=content, headers=headers
+                ) as response:
+                    if response.status == 200:
                         return
             except (aiohttp.ClientError, OSError, TimeoutError):
                 continue
-    note("no daemon of status_urls took the patch; they will read it from the store")
+    print_note(
+        "no daemon in status_urls accepted the patch; "
+        "the daemons will read it from the store"
+    )
--- a/packages/papayabay-cli/src/papayabay_cli/errors.py
+++ b/packages/papayabay-cli/src/papayabay_cli/errors.py
@@ -9,7 +9,7 @@
 
 
 class UsageError(PapayabayError):
-    """An argument, or a file that it names, can't be used."""
+    """An argument, or a file that it names, is not valid."""
 
 
 class DaemonsUnreachable(PapayabayError):
@@ -22,9 +22,9 @@
     (DaemonsUnreachable, exits.UNREACHABLE),
     (PapayabayError, exits.INVALID),
 )
-"""The first class that fits decides."""
+"""Error classes and their exit codes; the first class that matches decides."""
 
 
 def exit_code_of(error):
-    """Return the exit code of an error that a person reads."""
-    return next(code for kind, code in EXIT_CODES if isinstance(error, kind))
+    """Return the exit code for an error that is reported to the operator."""
+    return next(code for cls, code in EXIT_CODES if isinstance(error, cls))
--- a/packages/papayabay-cli/src/papayabay_cli/exits.py
+++ b/packages/papayabay-cli/src/papayabay_cli/exits.py
@@ -2,11 +2,11 @@
 
 OK = 0
 INVALID = 2
-"""Wrong usage, or a file that is not valid."""
+"""Wrong usage, or an invalid file."""
 STALE = 3
 """The patch was written against a version that is no longer current."""
 UNKNOWN = 4
-"""Nobody can tell yet whether the patch was stored."""
+"""It is not known yet whether the patch was stored."""
 UNREACHABLE = 5
-"""Store or daemons did not answer; this command wrote nothing."""
+"""The store or the daemons did not answer; the command wrote nothing."""
 INTERRUPTED = 130
--- a/packages/papayabay-cli/src/papayabay_cli/output.py
+++ b/packages/papayabay-cli/src/papayabay_cli/output.py
@@ -1,35 +1,35 @@
-"""Prints results, for people and for programs."""
+"""Prints results as tables or JSON, and notes on standard error."""
 
 import datetime
 import json
 import sys
 
 NO_TIME = "-"
-GAP = "  "
+COLUMN_GAP = "  "
 
 
 def print_json(values):
-    """Print plain values for programs."""
+    """Print JSON-compatible values as indented JSON."""
     print(json.dumps(values, indent=2, ensure_ascii=False))
 
 
-def note(text):
-    """Tell the operator something beside the result."""
+def print_note(text):
+    """Print a line on standard error, apart from the result."""
     print(text, file=sys.stderr)
 
 
 def print_table(headings, rows):
-    """Print rows in columns as wide as their widest cell."""
+    """Print a table whose columns are as wide as their widest cell."""
     for line in table_lines(headings, rows):
         print(line)
 
 
 def table_lines(headings, rows):
-    """Return the lines of a table."""
+    """Return the headings and rows of a table as aligned lines."""
     cells = [list(headings), *([str(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     return [
-        GAP.join(
+        COLUMN_GAP.join(
             cell.ljust(width) for cell, width in zip(row, widths, strict=True)
         ).rstrip()
         for row in cells
@@ -37,7 +37,7 @@
 
 
 def format_time(milliseconds):
-    """Return a wall time for people, in UTC; a dash for none."""
+    """Return a Unix time as UTC date and time; a dash for 0 or None."""
     if not milliseconds:
         return NO_TIME
     moment = datetime.datetime.fromtimestamp(milliseconds / 1_000, datetime.UTC)
--- a/packages/papayabay-cli/src/papayabay_cli/results.py
+++ b/packages/papayabay-cli/src/papayabay_cli/results.py
@@ -2,7 +2,7 @@
 
 from papayabay_cli import exits
 from papayabay_cli.changes import patch_summary
-from papayabay_cli.output import format_time, note
+from papayabay_cli.output import format_time, print_note
 from papayabay_core.configuration import CommitOutcome
 
 CODES = {
@@ -58,14 +58,14 @@
 
 def print_stale(result, base):
     """Say what was committed since the base, and by whom."""
-    note(
+    print_note(
         f"stale: written against version {base}, but {result.version} is current; "
         "nothing was written"
     )
     for patch in result.changes:
-        note(describe_patch(patch))
+        print_note(describe_patch(patch))
     if not result.changes:
-        note("  what changed since could not be read; see `papayabay history`")
+        print_note("  what changed since could not be read; see `papayabay history`")
 
 
 def describe_patch(patch):
@@ -81,7 +81,7 @@
 
 def print_unknown(result, base):
     """Say how to ask again."""
-    note(
+    print_note(
         f"unknown: the store did not say whether patch {result.patch_id} was stored; "
         f"ask again:\n  papayabay settle {result.patch_id} --base {base}"
     )
--- a/packages/papayabay-cli/src/papayabay_cli/store.py
+++ b/packages/papayabay-cli/src/papayabay_cli/store.py
@@ -5,7 +5,7 @@
 
 from papayabay_cli.arguments import load_operator_settings
 from papayabay_cli.errors import UsageError
-from papayabay_cli.output import note
+from papayabay_cli.output import print_note
 from papayabay_core.configuration import ConfigurationLog
 from papayabay_core.platform import HttpObjectStore, HttpTableService
 
@@ -69,7 +69,7 @@
 def warn_unconfirmed(configuration):
     """Say so when only a snapshot, which may be old, could be read."""
     if not configuration.confirmed:
-        note(
+        print_note(
             f"the table does not answer; version {configuration.version} comes "
             "from a snapshot, and newer ones may be in force"
         )
--- a/tests/unit/cli/test_fleet_sums.py
+++ b/tests/unit/cli/test_fleet_sums.py
@@ -64,8 +64,8 @@
             [{"heard": {"a": 1}, "not_heard": {"b/c": "gone"}, "next": "b/c"}],
             [{"heard": {"d": 2}, "not_heard": {}, "next": None}],
         ]
-        with mock.patch.object(daemons, "ask_fleet", side_effect=answers) as asked:
-            fleet = daemons.ask_every_daemon(None)
+        with mock.patch.object(daemons, "query_fleet", side_effect=answers) as asked:
+            fleet = daemons.query_all_daemons(None)
         self.assertEqual(
             fleet, {"heard": {"a": 1, "d": 2}, "not_heard": {"b/c": "gone"}}
         )
@@ -74,7 +74,7 @@
     def test_pages_that_do_not_go_on_end(self):
         page = [{"heard": {}, "not_heard": {}, "next": "a"}]
         with (
-            mock.patch.object(daemons, "ask_fleet", return_value=page),
+            mock.patch.object(daemons, "query_fleet", return_value=page),
             self.assertRaises(DaemonsUnreachable),
         ):
-            daemons.ask_every_daemon(None)
+            daemons.query_all_daemons(None)
