--- a/packages/papayabay-cli/src/papayabay_cli/commands/check.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/check.py
@@ -2,7 +2,7 @@
 
 from papayabay_cli import exits
 from papayabay_cli.errors import UsageError
-from papayabay_cli.files import FileKind, kind_of, parse_toml, read_text
+from papayabay_cli.files import FileKind, detect_kind, parse_toml, read_text
 from papayabay_cli.output import print_json, print_note
 from papayabay_core.exceptions import PapayabayError
 
@@ -39,7 +39,7 @@
     kind = None
     try:
         values = parse_toml(read_text(path), path)
-        kind = kind_of(values, path)
+        kind = detect_kind(values, path)
         validate(kind, values, path)
     except PapayabayError as error:
         errors = str(error).splitlines()
--- a/packages/papayabay-cli/src/papayabay_cli/explanation.py
+++ b/packages/papayabay-cli/src/papayabay_cli/explanation.py
@@ -1,4 +1,4 @@
-"""What a call would get, and which keys of the policy say so."""
+"""Explains which settings apply to a call, and which policy keys set them."""
 
 from dataclasses import dataclass
 
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Fact:
-    """One thing that a call would get.
+    """One setting that applies to a call.
 
     Attributes
     ----------
     name : str
     value : object
-        Plain.
+        JSON-compatible.
     key : str
-        The dotted key that decides it; empty when none is set, so that the
-        value is the default.
+        The dotted policy key that sets the value; empty when no key is set
+        and the value is the default.
     """
 
     name: str
@@ -28,7 +28,7 @@
 
 
 def explain_call(configuration, service, method, path):
-    """Return the facts of a call at a version.
+    """Return the settings that apply to a call at a version of the policy.
 
     Parameters
     ----------
@@ -47,57 +47,62 @@
     rule = policy.rule_for(service, method, path)
     values = configuration.values
     base = f"services.{service}"
-    call = f"{base}.calls.{rule.name}" if declares(policy, rule) else ""
+    call = f"{base}.calls.{rule.name}" if is_declared(policy, rule) else ""
 
     def fact(name, value, *keys):
         return Fact(name, value, first_set(values, keys))
 
-    def of_call(name):
+    def call_key(name):
         return f"{call}.{name}" if call else ""
 
     return [
         fact("call path", rule.path_key, call),
-        fact("class", rule.importance.name.lower(), of_call("importance")),
+        fact("class", rule.importance.name.lower(), call_key("importance")),
         fact(
             "lifetime_ms",
             rule.deadline_ms,
-            of_call("deadline_ms"),
+            call_key("deadline_ms"),
             f"{base}.deadline_ms",
         ),
         fact(
             "retry_credits",
             rule.retry_credits,
-            of_call("retry_credits"),
+            call_key("retry_credits"),
             f"{base}.retries.credits",
         ),
-        fact("idempotent", rule.idempotent, of_call("idempotent"), of_call("methods")),
-        *at_most_once(rule, fact, of_call),
-        fact("objective", objective_of(rule), of_call("objective")),
+        fact(
+            "idempotent", rule.idempotent, call_key("idempotent"), call_key("methods")
+        ),
+        *at_most_once_facts(rule, fact, call_key),
+        fact("objective", objective_of(rule), call_key("objective")),
         *service_facts(policy, service, fact),
     ]
 
 
-def declares(policy, rule):
+def is_declared(policy, rule):
     """Return whether a rule is declared, rather than the default one."""
     return rule.name in policy.declaration(rule.service).calls and any(
         compiled.rule is rule for compiled in policy.calls[rule.service]
     )
 
 
-def at_most_once(rule, fact, of_call):
-    """Return how repeats are told apart, for calls that need it."""
+def at_most_once_facts(rule, fact, call_key):
+    """Return how a call is run at most once; nothing if it is idempotent."""
     if rule.idempotent:
         return []
-    return [fact("at_most_once", rule.at_most_once, of_call("at_most_once"))]
+    return [fact("at_most_once", rule.at_most_once, call_key("at_most_once"))]
 
 
 def objective_of(rule):
-    """Return the objective as plain values."""
+    """Return the objective as a dict, or None."""
     return rule.objective and rule.objective.model_dump()
 
 
 def service_facts(policy, service, fact):
-    """Return the limits that all calls of a service share."""
+    """Return the settings that all calls of a service share.
+
+    The retry credits are left out, since each call has its own.
+    """
     declaration = policy.declaration(service)
     return [
         fact(f"{section}.{name}", value, f"services.{service}.{section}.{name}")
@@ -108,10 +113,10 @@
 
 
 def first_set(values, keys):
-    """Return the first key that the policy sets, or an empty one."""
+    """Return the first key that the policy sets, or an empty string."""
     return next((k for k in keys if k and value_at(values, k) is not None), "")
 
 
 def is_default_rule(facts):
-    """Return whether no declared call path matched."""
+    """Return whether no declared call path matched the call."""
     return facts[0].value.endswith(f"/{DEFAULT_CALL}") and not facts[0].key
--- a/packages/papayabay-cli/src/papayabay_cli/files.py
+++ b/packages/papayabay-cli/src/papayabay_cli/files.py
@@ -1,4 +1,4 @@
-"""Reads files that operators name, and tells their kinds apart."""
+"""Reads policy and settings files, and detects which of them a file is."""
 
 import tomllib
 from enum import Enum
@@ -9,14 +9,14 @@
 
 
 class FileKind(Enum):
-    """What a TOML file declares."""
+    """What a TOML file holds."""
 
     POLICY = "policy"
     DAEMON = "daemon settings"
     OPERATOR = "operator settings"
 
 
-KEYS_OF = {
+TOP_LEVEL_KEYS = {
     FileKind.POLICY: {"format", "decisions", "services"},
     FileKind.DAEMON: {
         "vm",
@@ -29,11 +29,11 @@
     },
     FileKind.OPERATOR: {"platform", "status_urls", "cluster_secret"},
 }
-"""Top-level keys by which a file is known; the first kind that has one."""
+"""A file is of the first kind of which it has a top-level key."""
 
 
 def read_text(path):
-    """Return a file's text.
+    """Return the text of a UTF-8 file.
 
     Raises
     ------
@@ -48,7 +48,12 @@
 
 
 def parse_toml(text, source):
-    """Return the values written in TOML.
+    """Return the values of a TOML document.
+
+    Parameters
+    ----------
+    text, source : str
+        The document, and its name in error messages.
 
     Raises
     ------
@@ -60,15 +65,15 @@
         raise PolicyError(f"{source}: not valid TOML: {error}") from None
 
 
-def kind_of(values, source):
-    """Return the kind of a file by its top-level keys.
+def detect_kind(values, source):
+    """Return the `FileKind` of a file by its top-level keys.
 
     Raises
     ------
     UsageError
-        When it has none of any kind's keys.
+        When the file has no key of any kind.
     """
-    for kind, keys in KEYS_OF.items():
+    for kind, keys in TOP_LEVEL_KEYS.items():
         if keys & values.keys():
             return kind
     raise UsageError(
@@ -78,7 +83,7 @@
 
 
 def load_policy_values(path):
-    """Return the plain values of a policy file that was found valid.
+    """Return the values of a policy file after validating them.
 
     Raises
     ------
@@ -87,7 +92,7 @@
     from papayabay_core.policy.document import validate_policy
 
     values = parse_toml(read_text(path), path)
-    if values and kind_of(values, path) is not FileKind.POLICY:
+    if values and detect_kind(values, path) is not FileKind.POLICY:
         raise UsageError(f"{path}: not a policy file")
     validate_policy(values, path)
     return values
