--- a/packages/papayabay-cli/src/papayabay_cli/fleet_status.py
+++ b/packages/papayabay-cli/src/papayabay_cli/fleet_status.py
@@ -1,10 +1,10 @@
-"""The daemons' reports as tables for people."""
+"""Prints the daemons' status reports as tables."""
 
 from itertools import groupby
 
 from papayabay_cli.output import NO_TIME, format_time, print_table
 
-CONFIGURATION = (
+CONFIGURATION_HEADINGS = (
     "DAEMON",
     "DOMAIN",
     "SERVICE",
@@ -16,7 +16,7 @@
     "LINKS",
     "UP",
 )
-LOAD = (
+LOAD_HEADINGS = (
     "DAEMON",
     "LIMIT",
     "IN FLIGHT",
@@ -28,7 +28,7 @@
     "RETRIES STOPPED",
     "REFUSED BY CLASS",
 )
-TOTALS = {
+TOTAL_LABELS = {
     "daemons": "daemons heard",
     "unconfirmed": "with a version that the store has not confirmed",
     "not_in_force": "with a newer version that is not in force",
@@ -37,79 +37,82 @@
     "in_flight": "calls in flight",
     "queued": "calls queued",
 }
-COUNTS = {"versions": "VERSION", "domains": "DOMAIN", "services": "SERVICE"}
-ROWS_MAX = 50
+COUNT_HEADINGS = {"versions": "VERSION", "domains": "DOMAIN", "services": "SERVICE"}
+MAX_ROWS = 50
 CLASSES = ("critical", "normal", "sheddable")
-RANKS = 1 << 16
+RANKS_PER_CLASS = 1 << 16
+"""An admission level is the class's index times this, plus a rank in it."""
 STOP_PREFIX = "retries."
-NO_RETRY_WANTED = "answered"
-"""Counted with the reasons for calls that ended well."""
+"""Of the counters that give the reason why a call was not retried."""
+NO_RETRY_NEEDED = "answered"
+"""Counted like a reason, for calls whose answer called for no retry."""
 
 
 def print_fleet(fleet):
-    """Print what daemons said, then who was not heard.
+    """Print the daemons' reports, then the daemons that did not answer.
 
     Parameters
     ----------
     fleet : dict
-        ``heard`` or ``sums``, and ``not_heard``, as a status door answers.
+        Answer of ``/fleet/status``: each daemon's report under ``heard``, or
+        the sums of a large fleet under ``sums``; and ``not_heard``.
     """
     if "sums" in fleet:
         print_sums(fleet["sums"])
     else:
-        print_heard(fleet.get("heard", {}))
+        print_reports(fleet.get("heard", {}))
     print_not_heard(fleet.get("not_heard", {}))
 
 
-def print_heard(pages):
-    """Print one row for each daemon, and what needs attention."""
-    heard = sorted(pages.items())
-    print_table(CONFIGURATION, [configuration_row(*pair) for pair in heard])
+def print_reports(reports):
+    """Print one row for each daemon, and the conditions to act on."""
+    named = sorted(reports.items())
+    print_table(CONFIGURATION_HEADINGS, [configuration_row(*pair) for pair in named])
     print()
-    print_table(LOAD, [load_row(*pair) for pair in heard])
-    print_notes(heard)
+    print_table(LOAD_HEADINGS, [load_row(*pair) for pair in named])
+    print_warnings(named)
 
 
 def print_sums(sums):
-    """Print counts over daemons, then those that stand out in full."""
+    """Print totals and counts of the fleet, then the outliers' reports."""
     totals = sums.get("totals", {})
-    for name, text in TOTALS.items():
+    for name, text in TOTAL_LABELS.items():
         print(f"{text}: {totals.get(name, 0)}")
-    for name, heading in COUNTS.items():
+    for name, heading in COUNT_HEADINGS.items():
         print()
         counts = sorted(sums.get(name, {}).items(), key=lambda pair: (-pair[1], pair))
-        print_table((heading, "DAEMONS"), counts[:ROWS_MAX])
-        if len(counts) > ROWS_MAX:
-            print(f"and {len(counts) - ROWS_MAX} more; see --json")
+        print_table((heading, "DAEMONS"), counts[:MAX_ROWS])
+        if len(counts) > MAX_ROWS:
+            print(f"and {len(counts) - MAX_ROWS} more; see --json")
     outliers = sums.get("outliers", {})
     if outliers:
         count = totals.get("outliers", len(outliers))
         print(f"\nstanding out: {count}, of which {len(outliers)} in full:\n")
-        print_heard(outliers)
+        print_reports(outliers)
 
 
-def configuration_row(name, page):
-    """Return the cells that say what a daemon is and what it follows."""
-    configuration = page.get("configuration", {})
-    target = page.get("target") or {}
+def configuration_row(name, report):
+    """Return the cells on a daemon's identity, policy version and state."""
+    configuration = report.get("configuration", {})
+    target = report.get("target") or {}
     return (
         name,
-        page.get("failure_domain", "?"),
+        report.get("failure_domain", "?"),
         target.get("service", "-"),
         configuration.get("version", "?"),
         format_time(configuration.get("applied_at", 0) * 1_000),
         "yes" if configuration.get("confirmed") else "no",
-        "leaving" if page.get("leaving") else "running",
-        page.get("members", {}).get("live", "?"),
-        len(page.get("links", ())),
-        format_seconds(page.get("uptime_s", 0)),
+        "leaving" if report.get("leaving") else "running",
+        report.get("members", {}).get("live", "?"),
+        len(report.get("links", ())),
+        format_seconds(report.get("uptime_s", 0)),
     )
 
 
-def load_row(name, page):
-    """Return the cells that say how full a daemon is."""
-    admission = page.get("admission", {})
-    counters = page.get("counters", {})
+def load_row(name, report):
+    """Return the cells on a daemon's load, retries and refusals."""
+    admission = report.get("admission", {})
+    counters = report.get("counters", {})
     return (
         name,
         admission.get("limit", "?"),
@@ -119,38 +122,44 @@
         describe_level(admission.get("admit_level")),
         counters.get("calls.attempts", 0),
         counters.get("calls.retries", 0),
-        describe_counts(stops_of(counters)),
+        describe_counts(retry_stops(counters)),
         describe_counts(refused_by_class(admission.get("refused", {}))),
     )
 
 
 def describe_level(level):
-    """Return which requests a daemon admits, for people."""
+    """Return in words which requests a daemon admits.
+
+    Parameters
+    ----------
+    level : int or None
+        Priority of the least important requests that are admitted.
+    """
     if level is None:
         return "?"
     if level < 0:
         return "nothing"
-    importance, rank = divmod(level, RANKS)
+    importance, rank = divmod(level, RANKS_PER_CLASS)
     if importance >= len(CLASSES):
         return "all"
-    share = round(100 * (rank + 1) / RANKS)
-    whole = "all" if importance == len(CLASSES) - 1 else f"to {CLASSES[importance]}"
-    return whole if share >= 100 else f"{share} % of {CLASSES[importance]}"
+    share = round(100 * (rank + 1) / RANKS_PER_CLASS)
+    full = "all" if importance == len(CLASSES) - 1 else f"to {CLASSES[importance]}"
+    return full if share >= 100 else f"{share} % of {CLASSES[importance]}"
 
 
-def stops_of(counters):
-    """Return why wanted retries were not made, with counts."""
+def retry_stops(counters):
+    """Return how often retries were stopped, by reason."""
     reasons = {
         name.removeprefix(STOP_PREFIX): count
         for name, count in counters.items()
         if name.startswith(STOP_PREFIX) and count
     }
-    reasons.pop(NO_RETRY_WANTED, None)
+    reasons.pop(NO_RETRY_NEEDED, None)
     return reasons
 
 
 def refused_by_class(refused):
-    """Return refusals per importance class, of all kinds together."""
+    """Return the number of refusals per class, whatever their reason."""
     pairs = sorted((name.partition("/")[0], count) for name, count in refused.items())
     return {
         importance: sum(count for _, count in group)
@@ -159,15 +168,15 @@
 
 
 def describe_counts(counts):
-    """Return counts by name in one cell."""
+    """Return counts by name as one cell; a dash for none."""
     cells = [f"{name} {count}" for name, count in sorted(counts.items())]
     return ", ".join(cells) or "-"
 
 
-def print_notes(heard):
-    """Print what operators have to act on."""
-    for name, page in heard:
-        configuration = page.get("configuration", {})
+def print_warnings(named):
+    """Print the conditions that operators have to act on."""
+    for name, report in named:
+        configuration = report.get("configuration", {})
         if refused := configuration.get("not_in_force"):
             print(f"\n{name}: a newer version is not in force here: {refused}")
         if configuration.get("store_reachable") is False:
@@ -185,11 +194,11 @@
 
 
 def format_seconds(seconds):
-    """Return a duration in its two largest units."""
+    """Return a duration in its two largest units; a dash for 0."""
     units = (("d", 86_400), ("h", 3_600), ("min", 60), ("s", 1))
-    whole, parts = int(seconds), []
+    remaining, texts = int(seconds), []
     for unit, size in units:
-        count, whole = divmod(whole, size)
+        count, remaining = divmod(remaining, size)
         if count:
-            parts.append(f"{count} {unit}")
-    return " ".join(parts[:2]) or NO_TIME
+            texts.append(f"{count} {unit}")
+    return " ".join(texts[:2]) or NO_TIME
