--- a/packages/papayabay-cli/src/papayabay_cli/provenance.py
+++ b/packages/papayabay-cli/src/papayabay_cli/provenance.py
@@ -1,23 +1,25 @@
-"""Finds the patch that gave a key the value it has."""
+"""Finds the patch that last set each key of the policy."""
 
 from dataclasses import dataclass
 
-PAGE = 500
-MOST_PATCHES = 10_000
-"""So many patches are walked back; each hundred costs the store a read."""
+PAGE_SIZE = 500
+"""Patches per call of the log."""
+MAX_PATCHES = 10_000
+"""Patches searched, from the newest back; each 100 cost the store a read."""
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where a value comes from.
+    """The patch that last set a key.
 
     Attributes
     ----------
     version : int
-        Of the patch; 0 when it is a default, or older than was searched.
+        The version that the patch made; 0 when the patch is older than those
+        searched.
     author, message : str
     text : str
-        In words.
+        Version, author and message in one line.
     """
 
     version: int
@@ -27,23 +29,23 @@
 
 
 async def find_origins(log, version, keys):
-    """Return the `Origin` of each key that is set at a version.
+    """Return the `Origin` of each key, by key.
 
     Parameters
     ----------
     log : ConfigurationLog
     version : int
     keys : iterable of str
-        Dotted keys that the document of that version sets.
+        Dotted keys that the policy sets at that version.
 
     Raises
     ------
     PlatformError
     """
     missing, origins, newest = set(keys), {}, version
-    oldest = max(0, version - MOST_PATCHES)
+    oldest = max(0, version - MAX_PATCHES)
     while missing and newest > oldest:
-        start = max(oldest, newest - PAGE)
+        start = max(oldest, newest - PAGE_SIZE)
         patches = await log.patches_after(start, newest - start)
         for patch in reversed(patches):
             found = {key for key in missing if touches(patch.patch, key)}
@@ -66,8 +68,8 @@
 
 
 def origin_of(patch):
-    """Return the origin that a patch is."""
-    who = f" by {patch.author}" if patch.author else ""
-    why = f": {patch.message}" if patch.message else ""
-    text = f"version {patch.version}{who}{why}"
+    """Return a patch as the `Origin` of the keys that it sets."""
+    author = f" by {patch.author}" if patch.author else ""
+    message = f": {patch.message}" if patch.message else ""
+    text = f"version {patch.version}{author}{message}"
     return Origin(patch.version, patch.author, patch.message, text)
--- a/tests/unit/cli/test_provenance.py
+++ b/tests/unit/cli/test_provenance.py
@@ -1,4 +1,4 @@
-"""Which patch gave a key its value, over a history of several pages."""
+"""Finds the patch that last set a key, over several pages of patches."""
 
 import unittest
 from unittest import mock
@@ -19,7 +19,7 @@
 
 
 class FakeLog:
-    """Patches in memory, read as the real log reads them."""
+    """An in-memory log of patches that counts how many are read."""
 
     def __init__(self):
         self.patches = [
@@ -40,19 +40,19 @@
         origins = await provenance.find_origins(self.log, version, keys)
         return [origins[key].version for key in keys]
 
-    async def test_last_patch_that_touched_a_key_across_pages(self):
-        with mock.patch.object(provenance, "PAGE", 2):
+    async def test_last_patch_that_set_a_key_is_found_across_pages(self):
+        with mock.patch.object(provenance, "PAGE_SIZE", 2):
             self.assertEqual(await self.versions(6, DEADLINE, CREDITS), [5, 3])
             self.assertEqual(self.log.read, 4)
             self.assertEqual(await self.versions(4, DEADLINE, CREDITS), [1, 3])
 
-    async def test_removing_a_table_touches_what_was_in_it(self):
+    async def test_removing_a_table_counts_for_all_keys_in_it(self):
         self.assertEqual(await self.versions(2, CREDITS, "services.a"), [2, 2])
 
-    async def test_search_ends_at_its_bound_and_says_so(self):
+    async def test_search_stops_at_the_maximum_number_of_patches(self):
         with (
-            mock.patch.object(provenance, "PAGE", 2),
-            mock.patch.object(provenance, "MOST_PATCHES", 3),
+            mock.patch.object(provenance, "PAGE_SIZE", 2),
+            mock.patch.object(provenance, "MAX_PATCHES", 3),
         ):
             self.assertEqual(await self.versions(6, DEADLINE, CREDITS), [5, 0])
             origins = await provenance.find_origins(FakeLog(), 6, [CREDITS])
