--- a/packages/papayabay-cli/src/papayabay_cli/results.py
+++ b/packages/papayabay-cli/src/papayabay_cli/results.py
@@ -1,11 +1,11 @@
-"""Tells the operator what became of a patch."""
+"""Reports the outcome of a committed patch to the operator."""
 
 from papayabay_cli import exits
 from papayabay_cli.changes import patch_summary
 from papayabay_cli.output import format_time, print_note
 from papayabay_core.configuration import CommitOutcome
 
-CODES = {
+EXIT_CODES = {
     CommitOutcome.ACCEPTED: exits.OK,
     CommitOutcome.STALE: exits.STALE,
     CommitOutcome.UNKNOWN: exits.UNKNOWN,
@@ -13,13 +13,14 @@
 
 
 def result_values(result, base):
-    """Return a commit's result as plain values.
+    """Return a commit's result as a JSON-compatible dict.
 
     Parameters
     ----------
     result : CommitResult or None
         None when there was nothing to change.
     base : int
+        The version that the patch was written against.
     """
     if result is None:
         return {"outcome": "unchanged", "version": base}
@@ -39,8 +40,9 @@
     ----------
     result : CommitResult or None
     base : int
+        The version that the patch was written against.
     quiet : bool
-        Only return the code.
+        Print nothing, only return the exit code.
     """
     if result is None:
         if not quiet:
@@ -48,16 +50,16 @@
         return exits.OK
     if not quiet:
         PRINTERS[result.outcome](result, base)
-    return CODES[result.outcome]
+    return EXIT_CODES[result.outcome]
 
 
 def print_accepted(result, base):
-    """Say which version a patch made."""
+    """Print the version that the patch made."""
     print(f"accepted: version {result.version} (patch {result.patch_id})")
 
 
 def print_stale(result, base):
-    """Say what was committed since the base, and by whom."""
+    """Print the patches that were committed since the base version."""
     print_note(
         f"stale: written against version {base}, but {result.version} is current; "
         "nothing was written"
@@ -65,25 +67,26 @@
     for patch in result.changes:
         print_note(describe_patch(patch))
     if not result.changes:
-        print_note("  what changed since could not be read; see `papayabay history`")
+        print_note("  the patches since then can't be read; see `papayabay history`")
 
 
 def describe_patch(patch):
-    """Return a few lines on a patch."""
+    """Return a patch's author, time, message and changed keys, in lines."""
     summary = patch_summary(patch)
-    who = patch.author or "(no author)"
-    why = f": {patch.message}" if patch.message else ""
+    author = patch.author or "(no author)"
+    message = f": {patch.message}" if patch.message else ""
     lines = [
-        f"  version {patch.version} by {who}, {format_time(patch.committed_at_ms)}{why}"
+        f"  version {patch.version} by {author}, "
+        f"{format_time(patch.committed_at_ms)}{message}"
     ]
     return "\n".join([*lines, *(f"    {key}" for key in summary["keys"])])
 
 
 def print_unknown(result, base):
-    """Say how to ask again."""
+    """Print the command that finds out whether the patch was stored."""
     print_note(
-        f"unknown: the store did not say whether patch {result.patch_id} was stored; "
-        f"ask again:\n  papayabay settle {result.patch_id} --base {base}"
+        f"unknown: the store did not confirm whether patch {result.patch_id} was "
+        f"stored; find out with:\n  papayabay settle {result.patch_id} --base {base}"
     )
 
 
--- a/packages/papayabay-cli/src/papayabay_cli/store.py
+++ b/packages/papayabay-cli/src/papayabay_cli/store.py
@@ -1,4 +1,4 @@
-"""Opens the configuration in the platform's store."""
+"""Reads the policy's log and versions from the platform's store."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -12,7 +12,7 @@
 
 @asynccontextmanager
 async def open_log(settings):
-    """Give a `ConfigurationLog` and close its connections.
+    """Open a `ConfigurationLog`, and close its connections at the end.
 
     Parameters
     ----------
@@ -27,26 +27,26 @@
         await objects.close()
 
 
-def run_with_log(settings_path, work):
-    """Run a coroutine function on the log and return its result.
+def run_with_log(settings_path, operation):
+    """Run a coroutine function with the log and return its result.
 
     Parameters
     ----------
     settings_path : str or None
-    work : callable
-        Takes the log.
+    operation : callable
+        Coroutine function that takes the log.
     """
     settings = load_operator_settings(settings_path)
 
     async def run():
         async with open_log(settings) as log:
-            return await work(log)
+            return await operation(log)
 
     return asyncio.run(run())
 
 
 async def load_version(log, version=None):
-    """Return the configuration of a version; None for the newest.
+    """Return the configuration at a version; None for the newest.
 
     Raises
     ------
@@ -67,9 +67,9 @@
 
 
 def warn_unconfirmed(configuration):
-    """Say so when only a snapshot, which may be old, could be read."""
+    """Print a note when only a snapshot, which may be stale, could be read."""
     if not configuration.confirmed:
         print_note(
-            f"the table does not answer; version {configuration.version} comes "
-            "from a snapshot, and newer ones may be in force"
+            f"the table service does not answer; version {configuration.version} was "
+            "read from a snapshot, and a newer version may be in force"
         )
--- a/packages/papayabay-cli/src/papayabay_cli/toml_writer.py
+++ b/packages/papayabay-cli/src/papayabay_cli/toml_writer.py
@@ -1,4 +1,4 @@
-"""Writes plain values as TOML; the standard library only reads it."""
+"""Writes values as TOML, which the standard library can only read."""
 
 import json
 import re
@@ -38,12 +38,12 @@
 
 
 def write_string(text):
-    """Return a basic string; TOML allows no bare DEL, JSON does."""
+    """Return a basic string; unlike JSON, TOML requires DEL to be escaped."""
     return json.dumps(text, ensure_ascii=False).replace(DELETE, "\\u007f")
 
 
 def write_value(value):
-    """Return a value in one line."""
+    """Return a value as TOML in one line."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, str):
--- a/tests/unit/cli/test_toml_writer.py
+++ b/tests/unit/cli/test_toml_writer.py
@@ -1,4 +1,4 @@
-"""Values written as TOML read back the same."""
+"""Values written as TOML are read back unchanged."""
 
 import tomllib
 import unittest
@@ -27,10 +27,10 @@
 class RoundTripTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(strategies.dictionaries(TEXT, VALUES, max_size=4))
-    def test_reads_back(self, values):
+    def test_written_values_are_read_back_unchanged(self, values):
         self.assertEqual(tomllib.loads(to_toml(values)), values)
 
-    def test_is_laid_out_as_people_write_it(self):
+    def test_keys_come_before_tables(self):
         values = {"services": {"a": {"calls": {}, "deadline_ms": 5}}, "format": 1}
         expected = "format = 1\n\n[services.a]\ndeadline_ms = 5\n\n[services.a.calls]\n"
         self.assertEqual(to_toml(values), expected)
