--- a/packages/papayabay-cli/src/papayabay_cli/burn/__init__.py
+++ b/packages/papayabay-cli/src/papayabay_cli/burn/__init__.py
@@ -1,1 +1,1 @@
-"""The burn report: objectives, budgets, and what spends them."""
+"""The burn report: how fast the calls of a fleet use up error budgets."""
--- a/packages/papayabay-cli/src/papayabay_cli/burn/pictures.py
+++ b/packages/papayabay-cli/src/papayabay_cli/burn/charts.py
@@ -1,4 +1,4 @@
-"""Pictures of the burn report, as PNG in base64."""
+"""Draws the charts of the burn report, as PNG in base64."""
 
 import base64
 import io
@@ -6,23 +6,23 @@
 from papayabay_cli.burn.recording import WINDOWS
 from papayabay_cli.burn.report import ALERT_RULES, BUDGET_WINDOW
 
-MOST_BARS = 20
+MAX_BARS = 20
 BAR_INCHES = 0.45
 WIDTH_INCHES = 9.0
 DOTS_PER_INCH = 110
 COLORS = {"failed": "#b3261e", "refused": "#e0a100", "slow": "#4a6fa5"}
 
 
-def burn_picture(burns):
-    """Return a picture of burn rates per window.
+def burn_rate_chart(burns):
+    """Return a bar chart of burn rates per window.
 
     Parameters
     ----------
     burns : list of Burn
-        The first `MOST_BARS` are drawn.
+        The first `MAX_BARS` are drawn.
     """
-    figure, axes = new_figure(len(burns[:MOST_BARS]) * 2)
-    shown = burns[:MOST_BARS]
+    figure, axes = new_figure(len(burns[:MAX_BARS]) * 2)
+    shown = burns[:MAX_BARS]
     height = 0.8 / len(WINDOWS)
     for number, window in enumerate(WINDOWS):
         axes.barh(
@@ -40,9 +40,15 @@
     return encode(figure)
 
 
-def outcome_picture(burns):
-    """Return a picture of what kinds of bad requests spend the budgets."""
-    shown = burns[:MOST_BARS]
+def outcome_chart(burns):
+    """Return a bar chart of the bad requests by outcome.
+
+    Parameters
+    ----------
+    burns : list of Burn
+        The first `MAX_BARS` are drawn.
+    """
+    shown = burns[:MAX_BARS]
     figure, axes = new_figure(len(shown))
     left = [0.0] * len(shown)
     for outcome, color in COLORS.items():
@@ -58,13 +64,13 @@
 
 
 def bad_share(burn, outcome):
-    """Return requests of an outcome in percent of all."""
+    """Return the requests with an outcome, in percent of all."""
     counts = burn.outcomes[BUDGET_WINDOW]
     return 100 * getattr(counts, outcome) / counts.total if counts.total else 0.0
 
 
 def new_figure(bars):
-    """Return a figure and its axes, drawn without a display."""
+    """Return a figure, which needs no display, and its axes."""
     from matplotlib.backends.backend_agg import FigureCanvasAgg
     from matplotlib.figure import Figure
 
@@ -75,7 +81,7 @@
 
 
 def label_bars(axes, burns, offset):
-    """Name the bars, the first on top."""
+    """Label the bars with their call paths, the first on top."""
     names = [f"{burn.title} ({burn.importance})" for burn in burns]
     axes.set_yticks([index + offset for index in range(len(burns))], names)
     axes.invert_yaxis()
--- a/packages/papayabay-cli/src/papayabay_cli/burn/page.py
+++ b/packages/papayabay-cli/src/papayabay_cli/burn/page.py
@@ -1,4 +1,4 @@
-"""The burn report as one self-contained HTML page."""
+"""Writes the burn report as one self-contained HTML page."""
 
 from html import escape
 from string import Template
@@ -30,7 +30,7 @@
 <body>
 <h1>Burn report</h1>
 $headline
-$pictures
+$charts
 <h2>Per service and class</h2>
 $classes
 <h2>Per call path, what burns fastest first</h2>
@@ -52,38 +52,38 @@
     """Return the HTML page of a `BurnReport`."""
     return PAGE.substitute(
         headline="".join(f"<p>{escape(line)}</p>\n" for line in headline(report)),
-        pictures=make_pictures(report),
+        charts=make_charts(report),
         classes=make_table(CLASS_HEADINGS, report.classes, class_row),
         paths=make_table(PATH_HEADINGS, report.paths, path_row),
         rules="".join(f"<li>{escape(str(rule))}</li>\n" for rule in ALERT_RULES),
     )
 
 
-def make_pictures(report):
-    """Return the pictures, or a line when there is nothing to draw."""
+def make_charts(report):
+    """Return the charts as HTML, or a line when there is nothing to draw."""
     if not report.paths:
         return "<p>No call path has an objective.</p>"
-    from papayabay_cli.burn.pictures import burn_picture, outcome_picture
+    from papayabay_cli.burn.charts import burn_rate_chart, outcome_chart
 
-    pictures = {
-        "Burn rates per call path": burn_picture(report.paths),
-        "Bad requests per call path, by kind": outcome_picture(report.paths),
+    charts = {
+        "Burn rates per call path": burn_rate_chart(report.paths),
+        "Bad requests per call path, by kind": outcome_chart(report.paths),
     }
     return "".join(
         f'<h2>{title}</h2>\n<img alt="{title}" src="data:image/png;base64,{content}">\n'
-        for title, content in pictures.items()
+        for title, content in charts.items()
     )
 
 
 def make_table(headings, burns, row):
-    """Return a table with one row per burn."""
+    """Return an HTML table with one row per burn."""
     head = "".join(f"<th>{escape(heading)}</th>" for heading in headings)
     rows = "".join(make_row(burn, row(burn)) for burn in burns)
     return f"<table>\n<tr>{head}</tr>\n{rows}</table>"
 
 
 def make_row(burn, cells):
-    """Return a row, marked by the most urgent alert."""
-    urgent = burn.alerts[0].partition(":")[0] if burn.alerts else "calm"
+    """Return a table row, whose CSS class is the most urgent alert."""
+    css_class = burn.alerts[0].partition(":")[0] if burn.alerts else "calm"
     content = "".join(f"<td>{escape(str(cell))}</td>" for cell in cells)
-    return f'<tr class="{urgent}">{content}</tr>\n'
+    return f'<tr class="{css_class}">{content}</tr>\n'
--- a/packages/papayabay-cli/src/papayabay_cli/burn/recording.py
+++ b/packages/papayabay-cli/src/papayabay_cli/burn/recording.py
@@ -1,4 +1,4 @@
-"""What a report is made of: objectives, and counts of all daemons."""
+"""Reads the data of a burn report: objectives and request counts."""
 
 import json
 import time
@@ -18,17 +18,17 @@
 
 
 class Outcomes(Strict, frozen=True, kw_only=True):
-    """Requests by outcome.
+    """Number of requests by outcome.
 
     Attributes
     ----------
     good : int
     failed : int
-        Ended by an error, whoever made it.
+        Ended with an error, of a target or of a daemon.
     refused : int
-        Refused unrun, as policy wants it under overload.
+        Refused by the policy under overload, before they ran.
     slow : int
-        Answered, but after the objective's latency.
+        Answered, but later than the objective's latency.
     """
 
     good: Count = 0
@@ -38,12 +38,12 @@
 
     @property
     def bad(self):
-        """Requests that spend the budget."""
+        """Number of requests that count against the error budget."""
         return self.failed + self.refused + self.slow
 
     @property
     def total(self):
-        """All requests."""
+        """Number of all requests."""
         return self.good + self.bad
 
     def __add__(self, other):
@@ -56,7 +56,7 @@
 
 
 class PathObjective(Strict, frozen=True, kw_only=True):
-    """The objective of one call path, as policy has it."""
+    """The objective that the policy sets for one call path."""
 
     service: str
     call: str
@@ -65,12 +65,22 @@
 
     @property
     def path_key(self):
-        """The name by which daemons count."""
+        """The call path's key in the daemons' counts."""
         return f"{self.service}/{self.call}"
 
 
 class DaemonBurn(Strict, frozen=True, kw_only=True):
-    """One daemon's account."""
+    """One daemon's request counts.
+
+    Attributes
+    ----------
+    version : int
+        Of the policy in force at the daemon.
+    paths : dict
+        Outcomes by path key and window.
+    left_out : int
+        Requests that were not counted because the daemon's table was full.
+    """
 
     version: Count
     paths: dict[str, dict[WindowName, Outcomes]]
@@ -78,7 +88,17 @@
 
 
 class FleetSums(Strict, frozen=True, kw_only=True):
-    """The accounts of many daemons, added up by them."""
+    """Request counts of many daemons, summed by the daemon that was asked.
+
+    Attributes
+    ----------
+    versions : dict of str to int
+        Version that each daemon had in force.
+    paths : dict
+        Outcomes by path key and window.
+    left_out : int
+        Requests that were not counted because daemons' tables were full.
+    """
 
     versions: dict[str, Count]
     paths: dict[str, dict[WindowName, Outcomes]]
@@ -86,22 +106,23 @@
 
 
 class Recording(Strict, frozen=True, kw_only=True):
-    """The sum of all daemons' accounts, and the policy's objectives.
+    """The summed counts of all daemons, and the policy's objectives.
 
     Attributes
     ----------
     recorded_at_ms : int
-        Wall time.
+        Unix time.
     version : int
         Of the policy that the objectives come from.
+    objectives : list of PathObjective
     counts : dict
         Outcomes by path key and window.
     heard : dict of str to int
-        Version that each daemon heard had in force.
+        Version in force at each daemon that answered.
     not_heard : dict of str to str
         Cause for each daemon that did not answer.
     left_out : int
-        Requests that daemons did not count, for their tables were full.
+        Requests that were not counted because daemons' tables were full.
     """
 
     format: Literal[1] = 1
@@ -115,7 +136,7 @@
 
 
 def record_fleet(fleet, policy):
-    """Return the recording of what daemons have answered.
+    """Return the `Recording` of the daemons' answers.
 
     Parameters
     ----------
@@ -126,45 +147,51 @@
 
     Notes
     -----
-    A daemon whose account can't be read, say that of a newer release, is
-    listed as not heard, rather than failing the report of all others.
+    A daemon whose counts can't be parsed, such as one of a newer release, is
+    listed as not heard, so that the report on the others does not fail.
     """
     if "sums" in fleet:
-        accounts, versions, not_heard = read_sums(fleet)
+        counts, versions, not_heard = read_sums(fleet)
     else:
-        accounts, versions, not_heard = read_accounts(fleet)
+        counts, versions, not_heard = read_daemon_counts(fleet)
     version, values = policy.get("version", 0), policy.get("values", {})
     return Recording(
         recorded_at_ms=time.time_ns() // 1_000_000,
         version=version,
         objectives=list_objectives(values, version),
-        counts=add_up(accounts),
+        counts=sum_outcomes(counts),
         heard=versions,
         not_heard=not_heard,
-        left_out=sum(account.left_out for account in accounts),
+        left_out=sum(one.left_out for one in counts),
     )
 
 
-def read_accounts(fleet):
-    """Return the accounts, versions by name, and who was not heard."""
+def read_daemon_counts(fleet):
+    """Return the daemons' counts, their versions, and those not heard.
+
+    Returns
+    -------
+    list of DaemonBurn, dict of str to int, dict of str to str
+        Versions and causes are by the daemon's name.
+    """
     heard, not_heard = {}, dict(fleet.get("not_heard", {}))
-    for name, account in fleet.get("heard", {}).items():
+    for name, values in fleet.get("heard", {}).items():
         try:
-            heard[name] = DaemonBurn.model_validate(account)
+            heard[name] = DaemonBurn.model_validate(values)
         except InvalidValues as error:
             fault = explain_faults(error, "its account").splitlines()[0]
             not_heard[name] = fault
-    versions = {name: account.version for name, account in heard.items()}
+    versions = {name: counts.version for name, counts in heard.items()}
     return list(heard.values()), versions, not_heard
 
 
 def read_sums(fleet):
-    """Return what daemons have added up, as if it were one account.
+    """Return the same as `read_daemon_counts`, from the sums of a fleet.
 
     Raises
     ------
     UsageError
-        When the sums can't be read; there is nothing else to report then.
+        When the sums can't be parsed; there is nothing else to report then.
     """
     try:
         sums = FleetSums.model_validate(fleet["sums"])
@@ -174,7 +201,7 @@
 
 
 def list_objectives(values, version):
-    """Return the objectives that a policy declares."""
+    """Return the objectives of all call paths in a policy."""
     document = validate_policy(values, f"version {version}")
     rules = (
         compiled.rule
@@ -193,11 +220,11 @@
     ]
 
 
-def add_up(accounts):
+def sum_outcomes(counts):
     """Return the sum of daemons' counts, by path key and window."""
     sums = {}
-    for account in accounts:
-        for path_key, windows in account.paths.items():
+    for one in counts:
+        for path_key, windows in one.paths.items():
             path_sums = sums.setdefault(path_key, {})
             for window, outcomes in windows.items():
                 path_sums[window] = path_sums.get(window, Outcomes()) + outcomes
@@ -205,12 +232,17 @@
 
 
 def load_recording(path):
-    """Return the recording in a file: a report's JSON, or what it holds.
+    """Return the recording in a JSON file.
+
+    Parameters
+    ----------
+    path : str
+        Holds a report, whose member ``recording`` is read, or a recording.
 
     Raises
     ------
     UsageError
-        With one line per fault.
+        With one line per error in the file.
     """
     try:
         values = json.loads(read_text(path))
--- a/packages/papayabay-cli/src/papayabay_cli/burn/report.py
+++ b/packages/papayabay-cli/src/papayabay_cli/burn/report.py
@@ -1,7 +1,8 @@
-"""Budgets and burn rates, worked out from counts.
+"""Computes error budgets, burn rates and alerts from request counts.
 
-The alert rules are those of the SRE workbook's multi-window, multi-burn-rate
-alerts: the long window says that it matters, the short one that it goes on.
+The alert rules are the multi-window, multi-burn-rate alerts of the SRE
+workbook: the long window shows that the burn is significant, the short one
+that it still goes on.
 """
 
 from dataclasses import asdict, dataclass
@@ -10,23 +11,23 @@
 from papayabay_cli.burn.recording import WINDOWS, Outcomes, Recording
 
 BUDGET_WINDOW = "3d"
-"""Budgets are those of the longest window that daemons keep."""
+"""The window of error budgets: the longest that daemons keep counts for."""
 CLASS_ORDER = ("critical", "normal", "sheddable")
 
 
 @dataclass(frozen=True, slots=True)
 class AlertRule:
-    """When burning is worth a person's time.
+    """A burn rate from which on an alert fires.
 
     Attributes
     ----------
     name : str
         "page" or "ticket".
     long, short : str
-        Windows that both have to burn faster.
+        Windows; the burn rate of both has to be above the threshold.
     rate : float
-        A rate of 1 spends just the whole budget in the period of the
-        objective.
+        The threshold. A burn rate of 1 uses up exactly the whole error
+        budget in the period of the objective.
     """
 
     name: str
@@ -35,7 +36,7 @@
     rate: float
 
     def fires(self, rates):
-        """Return whether both windows burn faster than the rate."""
+        """Return whether the burn rates of both windows are too high."""
         return rates[self.long] > self.rate and rates[self.short] > self.rate
 
     def __str__(self):
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Burn:
-    """One objective, or several together, and what was spent of it.
+    """Burn rates of one call path, or of all call paths of a class.
 
     Attributes
     ----------
@@ -59,19 +60,21 @@
     call : str
         Empty for all call paths of a class together.
     good_share : float
-        The objective; of several, weighted by their requests.
+        The objective; for a class, the mean weighted by requests.
     latency_ms : int or None
+        The objective's latency; None for a class, or without one.
     outcomes : dict of str to Outcomes
         By window.
     rates : dict of str to float
-        Burn rate by window: bad requests over those that the objective
+        Burn rate by window: bad requests divided by those that the objective
         allows.
     budget_left : float
-        Share of the three days' budget; negative when overspent.
+        Share of the error budget of three days that is left; negative when
+        it is exceeded.
     alerts : list of str
         The rules that fire.
     share_of_bad : float
-        Part of its service's bad requests in three days.
+        Share of the service's bad requests in three days.
     """
 
     service: str
@@ -87,11 +90,11 @@
 
     @property
     def title(self):
-        """Short name for tables."""
+        """The call path's name in tables."""
         return f"{self.service}/{self.call or '*'}"
 
     def values(self):
-        """Return it as plain values."""
+        """Return the burn as a JSON-compatible dict."""
         counts = {
             window: outcomes.model_dump() | {"bad": outcomes.bad}
             for window, outcomes in self.outcomes.items()
@@ -101,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnReport:
-    """The whole report.
+    """The burn report.
 
     Attributes
     ----------
@@ -109,9 +112,9 @@
     classes : list of Burn
         One per service and importance class.
     paths : list of Burn
-        One per call path, what burns fastest first.
+        One per call path, the fastest burn first.
     unmatched : list of str
-        Path keys that daemons counted and the policy gives no objective.
+        Path keys that daemons counted but that have no objective.
     """
 
     recording: Recording
@@ -120,7 +123,7 @@
     unmatched: list[str]
 
     def values(self):
-        """Return it as plain values; `load_recording` reads them again."""
+        """Return a JSON-compatible dict that `load_recording` can read."""
         return {
             "recording": self.recording.model_dump(),
             "classes": [burn.values() for burn in self.classes],
@@ -130,31 +133,31 @@
 
 
 def make_report(recording):
-    """Return the report on a recording."""
-    bad_of = bad_by_service(recording)
-    paths = [path_burn(recording, one, bad_of) for one in recording.objectives]
+    """Return the `BurnReport` of a recording."""
+    service_bad = bad_by_service(recording)
+    paths = [path_burn(recording, one, service_bad) for one in recording.objectives]
     known = {one.path_key for one in recording.objectives}
     return BurnReport(
         recording=recording,
-        classes=class_burns(paths, bad_of),
-        paths=sorted(paths, key=burns_first),
+        classes=class_burns(paths, service_bad),
+        paths=sorted(paths, key=urgency_key),
         unmatched=sorted(recording.counts.keys() - known),
     )
 
 
-def burns_first(burn):
-    """Sort by alerts, then by the fastest burn of any window."""
+def urgency_key(burn):
+    """Return a sort key: alerts first, then the highest rate of any window."""
     return not burn.alerts, -max(burn.rates.values()), burn.title
 
 
 def outcomes_of(recording, path_key):
-    """Return a path's outcomes for every window; zeros where none came."""
-    counted = recording.counts.get(path_key, {})
-    return {window: counted.get(window, Outcomes()) for window in WINDOWS}
+    """Return a path's outcomes for every window; zeros without requests."""
+    counts = recording.counts.get(path_key, {})
+    return {window: counts.get(window, Outcomes()) for window in WINDOWS}
 
 
 def bad_by_service(recording):
-    """Return bad requests of each service in the budget's window."""
+    """Return the number of bad requests per service in the budget's window."""
     bad = {}
     for one in recording.objectives:
         outcomes = outcomes_of(recording, one.path_key)[BUDGET_WINDOW]
@@ -162,42 +165,50 @@
     return bad
 
 
-def path_burn(recording, one, bad_of):
-    """Return what was spent of one call path's objective."""
-    outcomes = outcomes_of(recording, one.path_key)
-    share = one.objective.good_share
+def path_burn(recording, declared, service_bad):
+    """Return the `Burn` of one call path.
+
+    Parameters
+    ----------
+    recording : Recording
+    declared : PathObjective
+    service_bad : dict of str to int
+        Bad requests per service.
+    """
+    outcomes = outcomes_of(recording, declared.path_key)
+    share = declared.objective.good_share
     allowed = {
         window: counts.total * (1.0 - share) for window, counts in outcomes.items()
     }
     return make_burn(
-        one.service,
-        one.importance,
-        one.call,
+        declared.service,
+        declared.importance,
+        declared.call,
         share,
-        one.objective.latency_ms,
+        declared.objective.latency_ms,
         outcomes,
         allowed,
-        bad_of,
+        service_bad,
     )
 
 
-def class_burns(paths, bad_of):
-    """Return one burn per service and class, made of its call paths."""
+def class_burns(paths, service_bad):
+    """Return one `Burn` per service and class."""
     ordered = sorted(paths, key=class_key)
     groups = groupby(ordered, key=class_key)
-    return [class_burn(list(group), bad_of) for _, group in groups]
+    return [class_burn(list(group), service_bad) for _, group in groups]
 
 
 def class_key(burn):
-    """Return what the call paths of a class have in common."""
+    """Return a sort key of the burn's service and class."""
     return burn.service, CLASS_ORDER.index(burn.importance)
 
 
-def class_burn(paths, bad_of):
-    """Return what was spent of several objectives together.
+def class_burn(paths, service_bad):
+    """Return the `Burn` of all call paths of a service and class.
 
-    Each request counts against its own path's objective; so the allowed
-    bad requests are added up, not the shares averaged.
+    Each request counts against its own path's objective, so the allowed bad
+    requests are summed, instead of averaging the shares.
     """
     outcomes = {
         window: sum((path.outcomes[window] for path in paths), Outcomes())
@@ -212,16 +223,32 @@
     share = 1.0 - allowed[BUDGET_WINDOW] / total if total else strictest
     first = paths[0]
     return make_burn(
-        first.service, first.importance, "", share, None, outcomes, allowed, bad_of
+        first.service, first.importance, "", share, None, outcomes, allowed, service_bad
     )
 
 
-def make_burn(service, importance, call, share, latency_ms, outcomes, allowed, bad_of):
-    """Return a `Burn` with its rates, budget and alerts worked out."""
+def make_burn(
+    service, importance, call, share, latency_ms, outcomes, allowed, service_bad
+):
+    """Return a `Burn`; computes its rates, budget and alerts.
+
+    Parameters
+    ----------
+    service, importance, call : str
+    share : float
+        The objective's share of good requests.
+    latency_ms : int or None
+    outcomes : dict of str to Outcomes
+        By window.
+    allowed : dict of str to float
+        Bad requests that the objective allows, by window.
+    service_bad : dict of str to int
+        Bad requests per service.
+    """
     rates = {
         window: burn_rate(outcomes[window].bad, allowed[window]) for window in WINDOWS
     }
-    service_bad = bad_of.get(service, 0)
+    total_bad = service_bad.get(service, 0)
     return Burn(
         service=service,
         importance=importance,
@@ -232,12 +259,10 @@
         rates=rates,
         budget_left=1.0 - rates[BUDGET_WINDOW],
         alerts=[str(rule) for rule in ALERT_RULES if rule.fires(rates)],
-        share_of_bad=(
-            outcomes[BUDGET_WINDOW].bad / service_bad if service_bad else 0.0
-        ),
+        share_of_bad=(outcomes[BUDGET_WINDOW].bad / total_bad if total_bad else 0.0),
     )
 
 
 def burn_rate(bad, allowed):
-    """Return bad requests over those allowed; 0 without any request."""
+    """Return bad requests divided by those allowed; 0 without any request."""
     return bad / allowed if allowed else 0.0
--- a/packages/papayabay-cli/src/papayabay_cli/burn/text.py
+++ b/packages/papayabay-cli/src/papayabay_cli/burn/text.py
@@ -1,10 +1,11 @@
-"""The burn report as text."""
+"""Prints the burn report as text."""
 
 from papayabay_cli.burn.recording import WINDOWS
 from papayabay_cli.burn.report import BUDGET_WINDOW
 from papayabay_cli.output import format_time, print_table
 
-NAMES_SHOWN = 20
+MAX_NAMES = 20
+"""Daemons that did not answer are listed up to this number."""
 COLUMNS = (
     "OBJECTIVE",
     "GOOD",
@@ -21,7 +22,7 @@
 
 
 def print_report(report):
-    """Print the whole report."""
+    """Print a `BurnReport`."""
     for line in headline(report):
         print(line)
     if not report.paths:
@@ -34,18 +35,18 @@
 
 
 def headline(report):
-    """Return lines on what the report rests on."""
+    """Return lines on the report's data, and on what is missing in it."""
     recording = report.recording
     lines = [
         f"burn report of {format_time(recording.recorded_at_ms)} UTC, objectives of "
         f"version {recording.version}",
         f"daemons heard: {len(recording.heard)}; not heard: {len(recording.not_heard)}",
     ]
-    silent = sorted(recording.not_heard.items())
-    lines += [f"  not heard: {name}: {cause}" for name, cause in silent[:NAMES_SHOWN]]
-    if len(silent) > NAMES_SHOWN:
-        lines.append(f"  and {len(silent) - NAMES_SHOWN} more, see --json")
-    if silent:
+    missing = sorted(recording.not_heard.items())
+    lines += [f"  not heard: {name}: {cause}" for name, cause in missing[:MAX_NAMES]]
+    if len(missing) > MAX_NAMES:
+        lines.append(f"  and {len(missing) - MAX_NAMES} more, see --json")
+    if missing:
         lines.append("  requests that entered by these are missing below")
     if recording.left_out:
         lines.append(
@@ -57,12 +58,12 @@
 
 
 def class_row(burn):
-    """Return the cells of a class."""
+    """Return the table cells of a class."""
     return burn.service, burn.importance, *shared_cells(burn)
 
 
 def path_row(burn):
-    """Return the cells of a call path."""
+    """Return the table cells of a call path."""
     return burn.title, burn.importance, *shared_cells(burn), percent(burn.share_of_bad)
 
 
@@ -83,13 +84,13 @@
 
 
 def describe_objective(burn):
-    """Return the objective for people."""
+    """Return the objective as a percentage and a latency."""
     latency = f" in {burn.latency_ms} ms" if burn.latency_ms else ""
     return f"{100 * burn.good_share:.6g} %{latency}"
 
 
 def describe_rate(burn, window):
-    """Return a burn rate; a dash where no request came."""
+    """Return a burn rate; a dash for a window without requests."""
     return f"{burn.rates[window]:.2f}" if burn.outcomes[window].total else "-"
 
 
