--- a/tests/unit/cli/test_burn_report.py
+++ b/tests/unit/cli/test_burn_report.py
@@ -1,4 +1,4 @@
-"""Budgets, burn rates and alerts of a recorded run."""
+"""Error budgets, burn rates and alerts computed from daemons' counts."""
 
 import base64
 import json
@@ -12,7 +12,7 @@
 from papayabay_cli.burn.report import make_report
 from papayabay_cli.burn.text import print_report
 
-CALM = {"good": 1000}
+ALL_GOOD = {"good": 1000}
 POLICY = {
     "services": {
         "orders": {
@@ -36,18 +36,18 @@
 }
 
 
-def account(**paths):
-    """Return one daemon's account with all other windows calm."""
+def daemon_counts(**paths):
+    """Return one daemon's counts; other windows have only good requests."""
     windows = ("5m", "30m", "1h", "6h", "3d")
-    counted = {
-        f"orders/{name}": {w: given.get(w, CALM) for w in windows}
+    counts = {
+        f"orders/{name}": {w: given.get(w, ALL_GOOD) for w in windows}
         for name, given in paths.items()
     }
-    return {"version": 3, "paths": counted, "left_out": 0}
+    return {"version": 3, "paths": counts, "left_out": 0}
 
 
-def report_of(*accounts, not_heard=None):
-    heard = {f"d{number}": one for number, one in enumerate(accounts)}
+def report_of(*daemons, not_heard=None):
+    heard = {f"d{number}": counts for number, counts in enumerate(daemons)}
     fleet = {"heard": heard, "not_heard": not_heard or {}}
     return make_report(record_fleet(fleet, {"version": 3, "values": POLICY}))
 
@@ -57,9 +57,9 @@
 
 
 class RatesTest(unittest.TestCase):
-    def test_daemons_add_up_and_kinds_of_bad_stay_apart(self):
+    def test_daemons_are_summed_per_outcome(self):
         one = {"3d": {"good": 900, "failed": 5, "refused": 3, "slow": 2}}
-        report = report_of(account(confirm=one), account(confirm={}))
+        report = report_of(daemon_counts(confirm=one), daemon_counts(confirm={}))
         burn = path_of(report, "confirm")
         counts = burn.outcomes["3d"]
         self.assertEqual((counts.failed, counts.refused, counts.slow), (5, 3, 2))
@@ -78,21 +78,23 @@
             (("3d",), []),
         ):
             given = dict.fromkeys(windows, fast)
-            burn = path_of(report_of(account(confirm=given)), "confirm")
+            burn = path_of(report_of(daemon_counts(confirm=given)), "confirm")
             names = [alert.partition(":")[0] for alert in burn.alerts]
             self.assertEqual(names, expected, windows)
 
-    def test_page_rate_is_exceeded_not_met(self):
-        just = dict.fromkeys(("1h", "5m"), {"good": 8560, "refused": 1440})
-        more = dict.fromkeys(("1h", "5m"), {"good": 8559, "refused": 1441})
+    def test_an_alert_fires_above_its_rate_and_not_at_it(self):
+        equal = dict.fromkeys(("1h", "5m"), {"good": 8560, "refused": 1440})
+        above = dict.fromkeys(("1h", "5m"), {"good": 8559, "refused": 1441})
         self.assertEqual(
-            path_of(report_of(account(confirm=just)), "confirm").alerts, []
+            path_of(report_of(daemon_counts(confirm=equal)), "confirm").alerts, []
+        )
+        self.assertTrue(
+            path_of(report_of(daemon_counts(confirm=above)), "confirm").alerts
         )
-        self.assertTrue(path_of(report_of(account(confirm=more)), "confirm").alerts)
 
-    def test_a_class_adds_allowed_requests_of_its_paths(self):
+    def test_a_class_sums_the_allowed_requests_of_its_paths(self):
         report = report_of(
-            account(
+            daemon_counts(
                 confirm={"3d": {"good": 90, "failed": 10}},
                 place={"3d": {"good": 870, "refused": 30}},
             )
@@ -104,7 +106,7 @@
         shares = [path.share_of_bad for path in report.paths]
         self.assertEqual(shares, [0.25, 0.75])
 
-    def test_no_request_burns_nothing(self):
+    def test_without_requests_the_burn_rate_is_zero(self):
         burn = path_of(report_of(), "confirm")
         self.assertEqual((burn.rates["1h"], burn.budget_left), (0.0, 1.0))
 
@@ -112,33 +114,35 @@
 class ReportTest(unittest.TestCase):
     def setUp(self):
         bad = dict.fromkeys(("1h", "5m", "3d"), {"good": 500, "refused": 500})
-        strange = {"version": 9, "mood": "fine"}
+        unknown_format = {"version": 9, "mood": "fine"}
         self.report = report_of(
-            account(confirm=bad), strange, not_heard={"<b>": "TimeoutError: "}
+            daemon_counts(confirm=bad),
+            unknown_format,
+            not_heard={"<b>": "TimeoutError: "},
         )
 
-    def test_unreadable_account_counts_as_not_heard(self):
+    def test_daemon_with_unreadable_counts_is_listed_as_not_heard(self):
         self.assertEqual(self.report.recording.heard, {"d0": 3})
         self.assertEqual(self.report.recording.not_heard.keys(), {"<b>", "d1"})
 
-    def test_json_is_read_back_to_the_same_report(self):
+    def test_report_read_back_from_json_is_the_same(self):
         values = json.loads(json.dumps(self.report.values()))
         recording = Recording.model_validate(values["recording"])
         self.assertEqual(make_report(recording).values(), self.report.values())
 
-    def test_text_names_burning_path_and_silent_daemons(self):
+    def test_text_lists_alerting_paths_and_daemons_not_heard(self):
         with redirect_stdout(StringIO()) as out:
             print_report(self.report)
         text = out.getvalue()
         self.assertIn("not heard: <b>: TimeoutError", text)
         self.assertRegex(text, r"(?m)^orders/confirm .*50\.00 .*page")
 
-    def test_page_is_whole_escaped_and_has_pictures(self):
+    def test_page_is_self_contained_escaped_and_has_charts(self):
         page = make_page(self.report)
         self.assertNotIn("<b>", page)
         self.assertIn("&lt;b&gt;", page)
         self.assertNotRegex(page, r'(src|href)="(?!data:)')
-        pictures = re.findall(r"base64,([^\"]+)", page)
-        self.assertEqual(len(pictures), 2)
-        for picture in pictures:
-            self.assertTrue(base64.b64decode(picture).startswith(b"\x89PNG"))
+        charts = re.findall(r"base64,([^\"]+)", page)
+        self.assertEqual(len(charts), 2)
+        for chart in charts:
+            self.assertTrue(base64.b64decode(chart).startswith(b"\x89PNG"))
--- a/tests/unit/cli/test_fleet_sums.py
+++ b/tests/unit/cli/test_fleet_sums.py
@@ -1,4 +1,4 @@
-"""Commands that show sums over a large fleet."""
+"""Commands that show sums over a large fleet, or all of its daemons."""
 
 import json
 import unittest
@@ -13,22 +13,24 @@
 from papayabay_daemon._internal.status.sums import BurnSums, StatusSums
 
 
-def make_page(version):
-    """Return the part of a status page that sums are made of."""
+def make_report(version):
+    """Return the part of a daemon's status report that sums are made of."""
     configuration = {"version": version, "confirmed": True, "applied_at": 1}
     return {"failure_domain": "d1", "configuration": configuration}
 
 
 def through_json(sums):
-    """Return sums as they come from a status door."""
+    """Return sums as they are decoded from a daemon's JSON answer."""
     return json.loads(json.dumps(sums.plain()))
 
 
 class FleetSumsTests(unittest.TestCase):
     def test_sums_and_outliers_are_printed(self):
         sums = StatusSums()
-        pages = {f"vm-{number}": make_page(9 if number else 8) for number in range(4)}
-        self.assertEqual(sums.add_reports(pages), {})
+        reports = {
+            f"vm-{number}": make_report(9 if number else 8) for number in range(4)
+        }
+        self.assertEqual(sums.add_reports(reports), {})
         fleet = {"sums": through_json(sums), "not_heard": {"vm-7": "TimeoutError: "}}
         with redirect_stdout(StringIO()) as out:
             print_fleet(fleet)
@@ -39,20 +41,20 @@
         self.assertNotIn("vm-1 ", text)
         self.assertIn("vm-7: TimeoutError", text)
 
-    def test_report_of_sums_equals_that_of_accounts(self):
+    def test_recording_of_sums_equals_that_of_single_daemons(self):
         counts = {"good": 5, "failed": 1, "refused": 0, "slow": 2}
-        account = {"version": 3, "paths": {"a/b": {"1h": counts}}, "left_out": 1}
-        heard = {"x": account, "y": account}
+        daemon = {"version": 3, "paths": {"a/b": {"1h": counts}}, "left_out": 1}
+        heard = {"x": daemon, "y": daemon}
         sums = BurnSums()
         sums.add_reports(heard)
         not_heard = {"z": "gone"}
         policy = {"version": 3, "values": {}}
         with mock.patch("time.time_ns", return_value=0):
-            whole = record_fleet({"heard": heard, "not_heard": not_heard}, policy)
+            single = record_fleet({"heard": heard, "not_heard": not_heard}, policy)
             summed = record_fleet(
                 {"sums": through_json(sums), "not_heard": not_heard}, policy
             )
-        self.assertEqual(summed, whole)
+        self.assertEqual(summed, single)
         self.assertEqual(summed.counts["a/b"]["1h"].good, 10)
 
     def test_unreadable_sums_are_an_error(self):
@@ -64,14 +66,14 @@
             [{"heard": {"a": 1}, "not_heard": {"b/c": "gone"}, "next": "b/c"}],
             [{"heard": {"d": 2}, "not_heard": {}, "next": None}],
         ]
-        with mock.patch.object(daemons, "query_fleet", side_effect=answers) as asked:
+        with mock.patch.object(daemons, "query_fleet", side_effect=answers) as query:
             fleet = daemons.query_all_daemons(None)
         self.assertEqual(
             fleet, {"heard": {"a": 1, "d": 2}, "not_heard": {"b/c": "gone"}}
         )
-        self.assertEqual(asked.call_args.args[1], "/fleet/status?after=b%2Fc")
+        self.assertEqual(query.call_args.args[1], "/fleet/status?after=b%2Fc")
 
-    def test_pages_that_do_not_go_on_end(self):
+    def test_next_page_that_does_not_start_later_is_an_error(self):
         page = [{"heard": {}, "not_heard": {}, "next": "a"}]
         with (
             mock.patch.object(daemons, "query_fleet", return_value=page),
