--- a/packages/papayabay-cli/src/papayabay_cli/commands/__init__.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The commands; add one here and nowhere else."""
+"""The registry of commands; a new command is added to `COMMANDS` only."""
 
 from importlib import import_module
 
@@ -17,12 +17,12 @@
     "accounts digest": ("accounts_digest", "AccountsDigestCommand"),
     "report burn": ("report_burn", "ReportBurnCommand"),
 }
-"""Command name: module in this package and its class. A class has a
-`run` method whose parameters are the command's arguments, as strings, and
-which returns the exit code (None for 0)."""
+"""Maps each command's name to its module in this package and its class. The
+class has a `run` method, whose parameters are the command's arguments, as
+strings, and which returns the exit code (None for 0)."""
 
 
 def load_command(name):
-    """Return the `run` method of a new command object."""
+    """Import a command and return the `run` method of a new instance."""
     module, class_name = COMMANDS[name]
     return getattr(import_module(f"{__name__}.{module}"), class_name)().run
--- a/packages/papayabay-cli/src/papayabay_cli/commands/accounts_list.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/accounts_list.py
@@ -1,29 +1,30 @@
-"""`accounts list`: say what client accounts may do, and did."""
+"""`accounts list`: lists client accounts, their limits and requests."""
 
 from papayabay_cli.output import print_json, print_table
 
 HEADINGS = ("ACCOUNT", "CLASS", "KEYS", "LIMIT", "ALLOWED", "LIMITED", "UNCHECKED")
-REFUSALS = {
+KEY_OUTCOMES = {
     "missing": "without a key",
     "malformed": "with a malformed key",
     "unknown": "with an unknown key",
     "revoked": "with a key revoked meanwhile",
     "stale": "refused as accounts were outdated",
 }
+"""Label of each outcome of authentication that refuses a request."""
 
 
 class AccountsListCommand:
-    """Shows client accounts; never a key, nor its digest."""
+    """Lists client accounts, without their keys or the keys' digests."""
 
     def run(self, settings=None, json=False):
         """Show all client accounts, their limits and their requests so far.
 
         Asks the first status URL of the settings that answers; that daemon
-        asks all others. ALLOWED are requests let in since the daemons
-        started, LIMITED those beyond the account's limit, UNCHECKED those
-        whose limit could not be checked. Exit codes: 0 shown, also when some
-        daemons could not be heard, which are named; 2 wrong usage or
-        settings; 5 no daemon answered.
+        asks all others. ALLOWED counts the requests admitted since the
+        daemons started, LIMITED those refused by the account's rate limit,
+        UNCHECKED those whose limit could not be checked. Exit codes: 0 shown,
+        also when some daemons did not answer, which are listed; 2 wrong usage
+        or settings; 5 no daemon answered.
 
         Parameters
         ----------
@@ -42,7 +43,7 @@
         declared = policy["values"].get("accounts", {})
         sums = sum_accounts(fleet)
         accounts = {
-            name: describe(declaration, sums.accounts.get(name, {}))
+            name: account_values(declaration, sums.accounts.get(name, {}))
             for name, declaration in sorted(declared.items())
         }
         not_heard = fleet.get("not_heard", {})
@@ -50,15 +51,15 @@
             keys = dict(sums.keys)
             print_json({"accounts": accounts, "keys": keys, "not_heard": not_heard})
             return
-        print_table(HEADINGS, (row_of(*item) for item in accounts.items()))
+        print_table(HEADINGS, (account_row(*item) for item in accounts.items()))
         print()
-        for name, text in REFUSALS.items():
+        for name, text in KEY_OUTCOMES.items():
             print(f"requests {text}: {sums.keys.get(name, 0)}")
         print_not_heard(not_heard)
 
 
-def describe(declaration, counts):
-    """Return an account as plain values, without digests of its keys."""
+def account_values(declaration, counts):
+    """Return an account as a dict, without the digests of its keys."""
     return {
         "importance": declaration.get("importance"),
         "keys": len(declaration.get("key_digests", ())),
@@ -68,8 +69,8 @@
     }
 
 
-def row_of(name, account):
-    """Return the cells of one account."""
+def account_row(name, account):
+    """Return the table cells of one account."""
     limit = "none"
     if account["rate_per_s"]:
         limit = f"{account['rate_per_s']:g}/s + {account['burst']}"
--- a/packages/papayabay-cli/src/papayabay_cli/commands/quarantine_list.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/quarantine_list.py
@@ -1,4 +1,4 @@
-"""`quarantine list`: say which requests are held back."""
+"""`quarantine list`: lists the quarantined requests."""
 
 from papayabay_cli.output import print_json, print_table
 
@@ -6,15 +6,14 @@
 
 
 class QuarantineListCommand:
-    """Shows the requests under which targets have ended."""
+    """Lists quarantined requests, which repeatedly crashed their targets."""
 
     def run(self, settings=None, json=False):
-        """Show the requests that all daemons hold back, and for how long.
+        """Show the quarantined requests, and for how much longer they stay so.
 
-        Asks the first status URL of the settings that answers. Which calls
-        had a fingerprint stands in the log of the daemon beside the target
-        that ended. Exit codes: 0 shown; 2 wrong usage or settings; 5 no
-        daemon answered.
+        Asks the first status URL of the settings that answers. The log of the
+        daemon beside a crashed target names the calls of each fingerprint.
+        Exit codes: 0 shown; 2 wrong usage or settings; 5 no daemon answered.
 
         Parameters
         ----------
--- a/packages/papayabay-cli/src/papayabay_cli/commands/report_burn.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/report_burn.py
@@ -1,4 +1,4 @@
-"""`report burn`: say how fast error budgets are spent, and by what."""
+"""`report burn`: reports how fast calls use up error budgets."""
 
 from papayabay_cli.output import print_json, print_note
 
@@ -10,26 +10,27 @@
         """Report how fast error budgets burn, and which calls burn them.
 
         Asks the first status URL of the settings that answers; that daemon
-        asks all others. Exit codes: 0 reported, also when some daemons
-        could not be heard, which are named; 2 wrong usage, settings or
-        report file; 5 no daemon answered.
+        asks all others. Exit codes: 0 reported, also when some daemons did
+        not answer, which are listed; 2 wrong usage, settings or report file;
+        5 no daemon answered.
 
         Parameters
         ----------
         html : str
-            Also write one self-contained HTML page with pictures here.
+            Also write the report to this file, as a self-contained HTML page
+            with charts.
         from_file : str
-            Report on what was recorded in this file, as `--json` prints it,
-            and ask nobody.
+            Report on the data in this file, which holds the output of
+            `--json`, instead of asking a daemon.
         settings : str
             Settings file; default papayabay.toml, or $PAPAYABAY_SETTINGS.
         json : bool
-            Print the report, with what it was made of, as JSON instead.
+            Print the report and its data as JSON instead.
         """
         from papayabay_cli.burn.report import make_report
         from papayabay_cli.burn.text import print_report
 
-        report = make_report(read_or_ask(from_file, settings))
+        report = make_report(get_recording(from_file, settings))
         if html is not None:
             write_page(html, report)
         if json:
@@ -38,8 +39,8 @@
             print_report(report)
 
 
-def read_or_ask(from_file, settings):
-    """Return the recording of a file, or a new one of the fleet."""
+def get_recording(from_file, settings):
+    """Return the recording in a file, or a new one of the fleet."""
     if from_file is not None:
         from papayabay_cli.burn.recording import load_recording
 
@@ -55,7 +56,7 @@
 
 
 def write_page(path, report):
-    """Write the HTML page.
+    """Write the report as an HTML page.
 
     Raises
     ------
