--- a/packages/papayabay-cli/src/papayabay_cli/commands/apply.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/apply.py
@@ -1,4 +1,4 @@
-"""`apply`: make a policy file the next version."""
+"""`apply`: makes a policy file the next version of the policy."""
 
 import asyncio
 
@@ -9,24 +9,24 @@
     """Submits a policy file as a patch against a numbered version."""
 
     def run(self, file, expect, author="", message="", settings=None, json=False):
-        """Make a whole policy file the next version.
+        """Make a policy file the next version of the policy.
 
-        The patch holds what differs from version EXPECT. Exit codes: 0
+        Commits the differences from version EXPECT as a patch. Exit codes: 0
         accepted, or nothing to change; 2 not valid; 3 stale, EXPECT is no
-        longer the newest and nothing was written; 4 unknown, also when
-        interrupted, ask again with `settle`; 5 the store did not answer and
-        nothing was written.
+        longer the newest version and nothing was written; 4 unknown, also
+        when interrupted: find out with `settle`; 5 the store did not answer
+        and nothing was written.
 
         Parameters
         ----------
         file : str
-            A whole policy file.
+            The policy file; it replaces the whole policy.
         expect : int
             The version that the file was written against.
         author : str
-            Who changes it; default the user's name.
+            Who makes the change; default the user's name.
         message : str
-            Why.
+            The reason for the change.
         settings : str
             Settings file; default papayabay.toml, or $PAPAYABAY_SETTINGS.
         json : bool
@@ -43,24 +43,25 @@
 
         operator = load_operator_settings(settings)
 
-        async def work(log):
+        async def operation(log):
             return await submit(log, base, values, author, message, operator)
 
-        result = run_with_log(settings, work)
+        result = run_with_log(settings, operation)
         if json:
             print_json(result_values(result, base))
         return show_result(result, base, quiet=json)
 
 
 async def submit(log, base, values, author, message, operator):
-    """Commit what differs from a version; None when nothing does.
+    """Commit the differences between a version and a policy as a patch.
 
-    An accepted patch is handed to a daemon at once, so that it comes in
-    force although the store fails right after the commit.
+    An accepted patch is also sent to a daemon at once, so that it takes
+    effect even if the store fails right after the commit.
 
     Returns
     -------
     CommitResult or None
+        None when nothing differs.
 
     Raises
     ------
@@ -86,14 +87,14 @@
             await post_patch(operator.status_urls, patch, operator.cluster_secret)
         return result
     except asyncio.CancelledError:
-        # Interrupted by the operator, perhaps after the write was sent. If
-        # this ended without the patch's identifier, nobody could ask what
-        # became of it.
+        # The operator may interrupt this after the write was sent. The result
+        # has the patch's identifier, without which `settle` could not find
+        # out whether the patch was stored.
         return CommitResult(CommitOutcome.UNKNOWN, patch.patch_id)
 
 
 def user_name():
-    """Return the name of the user who runs this; empty if unknown."""
+    """Return the name of the user who runs the command; empty if unknown."""
     import getpass
 
     try:
--- a/packages/papayabay-cli/src/papayabay_cli/commands/check.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/check.py
@@ -1,4 +1,4 @@
-"""`check`: say whether settings and policy files are valid."""
+"""`check`: validates settings and policy files."""
 
 from papayabay_cli import exits
 from papayabay_cli.errors import UsageError
@@ -8,7 +8,7 @@
 
 
 class CheckCommand:
-    """Checks files without asking anybody."""
+    """Validates files, without network access."""
 
     def run(self, *files, json=False):
         """Check settings and policy files, offline.
@@ -19,9 +19,9 @@
         Parameters
         ----------
         files : str
-            TOML files; which kind each is, its content tells.
+            TOML files; the kind of each is detected from its keys.
         json : bool
-            Print a list of results instead.
+            Print the results as JSON instead.
         """
         if not files:
             raise UsageError("check: name at least one file")
@@ -35,7 +35,7 @@
 
 
 def check_file(path):
-    """Return kind and errors of a file as plain values."""
+    """Return the path, kind and errors of a file as a dict."""
     kind = None
     try:
         values = parse_toml(read_text(path), path)
@@ -49,7 +49,7 @@
 
 
 def validate(kind, values, path):
-    """Raise a `PapayabayError` with one line per error."""
+    """Raise a `PapayabayError` with one line per error in the values."""
     if kind is FileKind.POLICY:
         from papayabay_core.policy.document import validate_policy
 
@@ -66,7 +66,7 @@
 
 
 def print_results(results):
-    """Print one line per valid file; errors go to standard error."""
+    """Print one line per valid file, and errors to standard error."""
     for result in results:
         if result["errors"]:
             print_note("\n".join(result["errors"]))
--- a/packages/papayabay-cli/src/papayabay_cli/commands/diff.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/diff.py
@@ -1,13 +1,13 @@
-"""`diff`: say what applying a policy file would change."""
+"""`diff`: shows what applying a policy file would change."""
 
 from papayabay_cli.output import print_json
 
 
 class DiffCommand:
-    """Compares a policy file with the version in force."""
+    """Compares a policy file with the newest version of the policy."""
 
     def run(self, file, settings=None, json=False):
-        """Show what differs between the version in force and a policy file.
+        """Show the differences between the newest version and a policy file.
 
         Exit codes: 0 compared; 2 the file is not valid; 5 the store did not
         answer.
@@ -15,11 +15,11 @@
         Parameters
         ----------
         file : str
-            A whole policy file.
+            The policy file.
         settings : str
             Settings file; default papayabay.toml, or $PAPAYABAY_SETTINGS.
         json : bool
-            Print version and changes as JSON instead.
+            Print the version and the changes as JSON instead.
         """
         from papayabay_cli.changes import list_changes
         from papayabay_cli.files import load_policy_values
--- a/packages/papayabay-cli/src/papayabay_cli/commands/explain.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""`explain`: say what a call would get, and why."""
+"""`explain`: shows which policy settings apply to a call, and why."""
 
 from papayabay_cli.output import print_json, print_table
 
@@ -6,13 +6,13 @@
 
 
 class ExplainCommand:
-    """Looks a call up in the policy as a daemon would."""
+    """Looks up a call in the policy, as a daemon does."""
 
     def run(self, method, path, service, version=None, settings=None, json=False):
-        """Show what a call would get, and which patch says so.
+        """Show the policy settings that apply to a call, and their origin.
 
-        Class, lifetime, bound on retries and limits, each with the key that
-        decides it and the patch that set this key last. Exit codes: 0
+        Shows class, lifetime, retry credits and limits, each with the policy
+        key that sets it and the patch that last set this key. Exit codes: 0
         shown; 2 wrong usage, no such version or no such service; 5 the
         store did not answer.
 
@@ -21,7 +21,7 @@
         method : str
             HTTP method.
         path : str
-            Path of the request, with or without query.
+            Path of the request, with or without a query.
         service : str
             The service called.
         version : int
@@ -29,7 +29,7 @@
         settings : str
             Settings file; default papayabay.toml, or $PAPAYABAY_SETTINGS.
         json : bool
-            Print it as JSON instead.
+            Print the explanation as JSON instead.
         """
         from papayabay_cli.arguments import parse_number
         from papayabay_cli.explanation import is_default_rule
@@ -37,21 +37,21 @@
 
         number = None if version is None else parse_number(version, "--version")
 
-        async def work(log):
+        async def operation(log):
             return await explain(log, number, service, method.upper(), path)
 
-        found, facts, origins = run_with_log(settings, work)
+        configuration, facts, origins = run_with_log(settings, operation)
         if json:
-            print_json(explanation_values(found, facts, origins))
+            print_json(explanation_values(configuration, facts, origins))
             return
-        print(f"version {found.version}: {method.upper()} {path} of {service}")
+        print(f"version {configuration.version}: {method.upper()} {path} of {service}")
         if is_default_rule(facts):
             print("no declared call path matches; the service's defaults hold")
         print_table(HEADINGS, [fact_row(fact, origins) for fact in facts])
 
 
 async def explain(log, version, service, method, path):
-    """Return configuration, facts, and the origin of each fact's key.
+    """Return the configuration, the facts, and the `Origin` of each key.
 
     Raises
     ------
@@ -64,19 +64,19 @@
 
     if not path.startswith("/"):
         raise UsageError(f"path: '{path}' does not begin with '/'")
-    found = await load_version(log, version)
-    if not found.policy().knows(service):
+    configuration = await load_version(log, version)
+    if not configuration.policy().knows(service):
         raise UsageError(
-            f"version {found.version} names no service '{service}': "
-            "every call to it is answered 404, not run"
+            f"version {configuration.version} names no service '{service}': "
+            "daemons answer calls to it with 404 and do not run them"
         )
-    facts = explain_call(found, service, method, path)
+    facts = explain_call(configuration, service, method, path)
     keys = {fact.key for fact in facts if fact.key}
-    return found, facts, await find_origins(log, found.version, keys)
+    return configuration, facts, await find_origins(log, configuration.version, keys)
 
 
 def fact_row(fact, origins):
-    """Return the cells of one fact."""
+    """Return the table cells of one fact."""
     from papayabay_cli.changes import format_value
 
     value = fact.value if isinstance(fact.value, str) else format_value(fact.value)
@@ -84,10 +84,10 @@
     return fact.name, value, fact.key or "-", origin
 
 
-def explanation_values(found, facts, origins):
-    """Return an explanation as plain values."""
+def explanation_values(configuration, facts, origins):
+    """Return an explanation as a JSON-compatible dict."""
     return {
-        "version": found.version,
+        "version": configuration.version,
         "facts": {
             fact.name: {
                 "value": fact.value,
--- a/packages/papayabay-cli/src/papayabay_cli/commands/history.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/history.py
@@ -3,7 +3,7 @@
 from papayabay_cli.output import format_time, print_json, print_table
 
 HEADINGS = ("VERSION", "COMMITTED (UTC)", "AUTHOR", "CHANGED", "MESSAGE")
-KEYS_SHOWN = 3
+MAX_KEYS_SHOWN = 3
 MAX_LIMIT = 1_000
 
 
@@ -22,7 +22,7 @@
         settings : str
             Settings file; default papayabay.toml, or $PAPAYABAY_SETTINGS.
         json : bool
-            Print them as JSON instead, with all keys.
+            Print the patches as JSON instead, with all changed keys.
         """
         from papayabay_cli.arguments import parse_number
         from papayabay_cli.changes import patch_summary
@@ -30,10 +30,10 @@
 
         count = parse_number(limit, "--limit", minimum=1, maximum=MAX_LIMIT)
 
-        async def work(log):
+        async def operation(log):
             return await log.patches_after(max(0, await log.head() - count), count)
 
-        patches = reversed(run_with_log(settings, work))
+        patches = reversed(run_with_log(settings, operation))
         summaries = [patch_summary(patch) for patch in patches]
         if json:
             print_json(summaries)
@@ -46,8 +46,8 @@
 def history_row(summary):
     """Return the table cells of one patch."""
     keys = summary["keys"]
-    more = len(keys) - KEYS_SHOWN
-    shown = ", ".join(keys[:KEYS_SHOWN]) + (f" and {more} more" if more > 0 else "")
+    more = len(keys) - MAX_KEYS_SHOWN
+    shown = ", ".join(keys[:MAX_KEYS_SHOWN]) + (f" and {more} more" if more > 0 else "")
     return (
         summary["version"],
         format_time(summary["committed_at_ms"]),
--- a/packages/papayabay-cli/src/papayabay_cli/commands/settle.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/settle.py
@@ -1,21 +1,22 @@
-"""`settle`: ask again what became of a patch."""
+"""`settle`: finds out whether a patch was stored."""
 
 from papayabay_cli.output import print_json
 
 
 class SettleCommand:
-    """Reads back a patch whose `apply` ended as unknown."""
+    """Finds out the outcome of a patch whose `apply` ended as unknown."""
 
     def run(self, patch_id, base, settings=None, json=False):
-        """Say what became of a patch whose `apply` ended as unknown.
+        """Find out the outcome of a patch whose `apply` ended as unknown.
 
-        Only reads. Exit codes: 0 it was accepted; 3 another patch took its
-        version, so it never will be; 4 still unknown; 2 wrong usage.
+        Only reads. Exit codes: 0 the patch was accepted; 3 another patch made
+        that version, so this one was not and won't be stored; 4 still
+        unknown; 2 wrong usage.
 
         Parameters
         ----------
         patch_id : str
-            As `apply` printed it.
+            The patch's identifier, as `apply` printed it.
         base : int
             The version that the patch was written against.
         settings : str
@@ -29,10 +30,10 @@
 
         number = parse_number(base, "--base")
 
-        async def work(log):
+        async def operation(log):
             return await log.settle(patch_id, number)
 
-        result = run_with_log(settings, work)
+        result = run_with_log(settings, operation)
         if json:
             print_json(result_values(result, number))
         return show_result(result, number, quiet=json)
--- a/packages/papayabay-cli/src/papayabay_cli/commands/show.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/show.py
@@ -1,4 +1,4 @@
-"""`show`: print the policy at a version."""
+"""`show`: prints a version of the policy."""
 
 from papayabay_cli.output import print_json
 
@@ -7,7 +7,7 @@
     """Prints a version of the policy."""
 
     def run(self, version=None, settings=None, json=False):
-        """Print the policy of a version as a policy file.
+        """Print a version of the policy as a policy file.
 
         Exit codes: 0 printed; 2 there is no such version; 5 the store did
         not answer.
@@ -15,11 +15,11 @@
         Parameters
         ----------
         version : int
-            Default the newest.
+            Version of the policy; default the newest.
         settings : str
             Settings file; default papayabay.toml, or $PAPAYABAY_SETTINGS.
         json : bool
-            Print version and values as JSON instead of TOML.
+            Print the version and its values as JSON instead of TOML.
         """
         from papayabay_cli.arguments import parse_number
         from papayabay_cli.store import load_version, run_with_log
@@ -27,12 +27,14 @@
 
         number = None if version is None else parse_number(version, "--version")
 
-        async def work(log):
+        async def operation(log):
             return await load_version(log, number)
 
-        found = run_with_log(settings, work)
+        configuration = run_with_log(settings, operation)
         if json:
-            print_json({"version": found.version, "values": found.values})
+            print_json(
+                {"version": configuration.version, "values": configuration.values}
+            )
             return
-        print(f"# version {found.version}")
-        print(to_toml(found.values), end="")
+        print(f"# version {configuration.version}")
+        print(to_toml(configuration.values), end="")
