--- a/tests/lib/known_red.py
+++ b/tests/lib/known_red.py
@@ -1,7 +1,8 @@
-"""Lets a run pass over the tests that KNOWN-RED.txt lists, and prints them.
+"""A nose2 plugin that expects the tests listed in KNOWN-RED.txt to fail.
 
-A test that shows a fault lands before the fault is mended. Only its failure
-is passed over: once it passes, the run fails until the entry is taken away.
+A test that reproduces a known fault may be merged before the fault is fixed.
+Its failure does not fail the run; once it passes, the run fails until its
+entry is removed from the list.
 """
 
 from pathlib import Path
@@ -13,9 +14,10 @@
 
 
 def listed_tests(text):
-    """Return the test that each entry names first, and the whole entry.
+    """Return the list's entries by the identifier of their test.
 
-    Entries are parted by empty lines. Lines that begin with ``#`` are notes.
+    Entries are separated by empty lines and begin with the test's
+    identifier. Lines that begin with ``#`` are comments.
     """
     lines = [line for line in text.splitlines() if not line.startswith("#")]
     entries = "\n".join(lines).split("\n\n")
@@ -23,32 +25,32 @@
 
 
 class KnownRed(Plugin):
-    """Expects the failure of listed tests."""
+    """Turns failures of listed tests into expected failures."""
 
     alwaysOn = True
     configSection = "known-red"
 
     def __init__(self):
         self.entries = listed_tests(LIST.read_text()) if LIST.exists() else {}
-        self.mended = []
+        self.fixed = []
 
     def setTestOutcome(self, event):
-        """Turn a listed failure into an expected one, and note a pass."""
+        """Mark a listed test's failure as expected, or record its pass."""
         if event.test.id() not in self.entries:
             return
         if event.outcome in {FAIL, ERROR}:
             event.outcome, event.expected = FAIL, True
         elif event.outcome == PASS:
-            self.mended.append(event.test.id())
+            self.fixed.append(event.test.id())
 
     def wasSuccessful(self, event):
-        """Fail the run while a test that passes is listed."""
-        if self.mended:
+        """Fail the run if a listed test passed."""
+        if self.fixed:
             event.success = False
 
     def afterSummaryReport(self, event):
-        """Print every entry of the list, and those to take off it."""
+        """Print all entries of the list, and the entries to remove."""
         for entry in self.entries.values():
             event.stream.writeln(f"known red: {entry}")
-        for test in self.mended:
-            event.stream.writeln(f"passes, to be taken off KNOWN-RED.txt: {test}")
+        for test in self.fixed:
+            event.stream.writeln(f"passes, to be removed from KNOWN-RED.txt: {test}")
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures passes over just what it names."""
+"""The plugin for known failures expects those of listed tests only."""
 
 import io
 import unittest
@@ -18,42 +18,44 @@
 """
 
 
-class Unregistered(KnownRed):
+class InactivePlugin(KnownRed):
+    """A plugin that nose2 does not activate when it is created."""
+
     alwaysOn = False
 
 
 class KnownRedTests(unittest.TestCase):
     def setUp(self):
-        self.plugin = Unregistered()
+        self.plugin = InactivePlugin()
         self.plugin.entries = listed_tests(TEXT)
 
-    def ended(self, name, outcome):
-        """Return the outcome that the run takes a test's end for."""
+    def report_outcome(self, name, outcome):
+        """Return a test's outcome, and whether it is expected, to the run."""
         test = SimpleNamespace(id=lambda: f"a.b.Test.{name}")
         event = SimpleNamespace(test=test, outcome=outcome, expected=outcome == PASS)
         self.plugin.setTestOutcome(event)
         return event.outcome, event.expected
 
-    def successful(self):
+    def run_successful(self):
         event = SimpleNamespace(success=None)
         self.plugin.wasSuccessful(event)
         return event.success is not False
 
     def test_listed_failures_are_expected_and_no_others(self):
-        self.assertEqual(self.ended("test_one", FAIL), (FAIL, True))
-        self.assertEqual(self.ended("test_two", ERROR), (FAIL, True))
-        self.assertEqual(self.ended("test_three", FAIL), (FAIL, False))
-        self.assertTrue(self.successful())
+        self.assertEqual(self.report_outcome("test_one", FAIL), (FAIL, True))
+        self.assertEqual(self.report_outcome("test_two", ERROR), (FAIL, True))
+        self.assertEqual(self.report_outcome("test_three", FAIL), (FAIL, False))
+        self.assertTrue(self.run_successful())
 
     def test_a_listed_test_that_passes_fails_the_run(self):
-        """An entry stayed on the list after its fault had been mended."""
-        self.ended("test_three", PASS)
-        self.assertTrue(self.successful())
-        self.ended("test_one", PASS)
-        self.assertFalse(self.successful())
+        """Guards against entries that stay after their fault is fixed."""
+        self.report_outcome("test_three", PASS)
+        self.assertTrue(self.run_successful())
+        self.report_outcome("test_one", PASS)
+        self.assertFalse(self.run_successful())
         stream = io.StringIO()
         stream.writeln = lambda line: stream.write(line + "\n")
         self.plugin.afterSummaryReport(SimpleNamespace(stream=stream))
         self.assertIn(
-            "to be taken off KNOWN-RED.txt: a.b.Test.test_one", stream.getvalue()
+            "to be removed from KNOWN-RED.txt: a.b.Test.test_one", stream.getvalue()
         )
