--- a/tests/lib/cluster_fakes.py
+++ b/tests/lib/cluster_fakes.py
@@ -1,4 +1,4 @@
-"""In-memory neighbours of membership and configuration."""
+"""In-memory fakes of the table service and of links between daemons."""
 
 import asyncio
 import random
@@ -9,10 +9,21 @@
 from papayabay_daemon._internal.links.limits import MAX_PAYLOAD_BYTES
 
 BOUND_SECONDS = 20.0
+"""Time limit of waits in tests."""
 
 
 class MemoryTable:
-    """A table service that can be down and can hold writes up."""
+    """A table service in memory.
+
+    Attributes
+    ----------
+    down : bool
+        Whether every call fails.
+    writes : int
+        Number of successful writes.
+    before_write : callable or None
+        Coroutine function that is awaited before each write.
+    """
 
     def __init__(self):
         self.era = StoreEra()
@@ -22,6 +33,7 @@
         self.before_write = None
 
     def check(self):
+        """Raise `PlatformError` while the service is down."""
         if self.down:
             raise PlatformError("table service: connection refused")
 
@@ -52,7 +64,17 @@
 
 
 class LinkNetwork:
-    """Links between the daemons of one test; counts what they carry."""
+    """Links between the daemons of one test.
+
+    Attributes
+    ----------
+    handlers : dict
+        Request handlers by daemon and topic.
+    partitioned : set of str
+        Daemons that no other daemon can reach, and that can reach none.
+    bytes : dict of str to int
+        Payload bytes of requests and answers by topic.
+    """
 
     def __init__(self):
         self.handlers = {}
@@ -65,7 +87,7 @@
 
 
 class MemoryLinks:
-    """One daemon's links."""
+    """One daemon's links to the others in its `LinkNetwork`."""
 
     def __init__(self, network, name):
         self.network = network
@@ -77,8 +99,8 @@
     async def request(self, peer, topic, payload, timeout):
         network = self.network
         await asyncio.sleep(0)
-        gone = peer.name not in network.handlers
-        if gone or {peer.name, self.name} & network.partitioned:
+        unknown = peer.name not in network.handlers
+        if unknown or {peer.name, self.name} & network.partitioned:
             raise ProtocolError(f"no link to {peer.name}")
         handler = network.handlers[peer.name].get(topic)
         if handler is None:
@@ -86,14 +108,14 @@
         async with asyncio.timeout(timeout):
             answer = await handler(payload, self.name)
         if max(len(payload), len(answer)) > MAX_PAYLOAD_BYTES:
-            raise ProtocolError(f"{topic}: longer than a link carries")
+            raise ProtocolError(f"{topic}: payload is longer than a link allows")
         size = len(payload) + len(answer)
         network.bytes[topic] = network.bytes.get(topic, 0) + size
         return answer
 
 
 def make_settings(name, domain="d1", **timing):
-    """Return settings with short periods."""
+    """Return a daemon's settings, with short periods for tests."""
     periods = {"gossip_period_ms": 50, "suspicion_ms": 300, "config_poll_ms": 50}
     return DaemonSettings.model_validate(
         {
@@ -106,15 +128,15 @@
 
 
 def seeded_rng(name):
-    """Return a random generator that is the same in every run."""
+    """Return a random number generator seeded with a name."""
     return random.Random(name)
 
 
 async def wait_for_condition(condition, listen):
-    """Wait, with a bound, until a condition holds after some event.
+    """Wait until a condition is true, for at most `BOUND_SECONDS`.
 
-    `listen` registers a callback for each event after which the condition
-    may have come true.
+    `listen` registers a callback that is called on each event that may make
+    the condition true.
     """
     changed = asyncio.Event()
     listen(lambda *_: changed.set())
--- a/tests/lib/virtual_time.py
+++ b/tests/lib/virtual_time.py
@@ -1,46 +1,46 @@
-"""An event loop whose time passes as fast as its work is done."""
+"""An event loop in virtual time, which skips the waits between timers."""
 
 import asyncio
 import selectors
 
 
 class VirtualTimeSelector:
-    """Waits for nothing: time jumps to the next timer instead."""
+    """Returns at once and advances the time by the timeout of a select."""
 
     def __init__(self):
-        self.inner = selectors.DefaultSelector()
-        self.jump = lambda seconds: None
+        self.selector = selectors.DefaultSelector()
+        self.advance = lambda seconds: None
 
     def __getattr__(self, name):
-        return getattr(self.inner, name)
+        return getattr(self.selector, name)
 
     def select(self, timeout=None):
         if timeout is None:
-            raise AssertionError("nothing is left that could happen")
-        self.jump(timeout)
-        return self.inner.select(0)
+            raise AssertionError("deadlock: no timer and no callback is pending")
+        self.advance(timeout)
+        return self.selector.select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Runs timers in their order, with no time between them.
+    """Runs timers in their order, with no wait between them.
 
-    Real sockets must not be used: nobody waits for them.
+    It must not use real sockets: the loop does not wait for their data.
     """
 
     def __init__(self):
-        self.moment = 1_000.0
+        self.now_s = 1_000.0
         selector = VirtualTimeSelector()
         super().__init__(selector)
-        selector.jump = self.advance
+        selector.advance = self.advance
 
     def advance(self, seconds):
-        self.moment += max(0.0, seconds)
+        self.now_s += max(0.0, seconds)
 
     def time(self):
-        return self.moment
+        return self.now_s
 
 
 def run_in_virtual_time(main):
-    """Run a coroutine function to its end in virtual time."""
+    """Run a coroutine function to completion in virtual time."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main())
