--- a/tests/functional/test_platform.py
+++ b/tests/functional/test_platform.py
@@ -1,4 +1,4 @@
-"""Real daemons with the platform's adapter, against stand-ins."""
+"""Daemon processes with the platform's adapter, against stand-ins."""
 
 import asyncio
 import os
@@ -19,8 +19,8 @@
 BOUND_SECONDS = 30.0
 NETWORK = f"127.{1 + os.getpid() // 250 % 250}.{1 + os.getpid() % 250}"
 HOSTS = (f"{NETWORK}.2", f"{NETWORK}.3")
-"""Addresses of this test run alone: the port of the metrics is fixed, and two
-runs on one machine would take it from each other."""
+"""Addresses that only this test run uses: the metrics port is fixed, so two
+runs on one machine would otherwise collide on it."""
 PORTS = ("outbound", "ready", "control", "app", "internal")
 BOOT = """
 [self]
@@ -78,16 +78,16 @@
 
 
 def free_ports(host):
-    """Return a free port for each of `PORTS`; `internal` begins three."""
+    """Return a free port for each of `PORTS`; `internal` starts a range."""
     sockets = [socket.create_server((host, 0)) for _ in PORTS]
-    ports = [taken.getsockname()[1] for taken in sockets]
-    for taken in sockets:
-        taken.close()
+    ports = [one.getsockname()[1] for one in sockets]
+    for one in sockets:
+        one.close()
     return dict(zip(PORTS, ports, strict=True))
 
 
 class Vm:
-    """One daemon process and the upstream beside it."""
+    """A VM with one daemon process and one upstream."""
 
     def __init__(self, number, store, folder, bounds=""):
         self.number = number
@@ -125,12 +125,12 @@
             stdout=self.output,
         )
 
-    def end(self):
+    def kill(self):
         self.process.kill()
         self.process.wait()
 
-    def url(self, door):
-        return f"http://{self.host}:{self.ports[door]}"
+    def url(self, port):
+        return f"http://{self.host}:{self.ports[port]}"
 
 
 class PlatformTest(unittest.IsolatedAsyncioTestCase):
@@ -146,24 +146,24 @@
             await vm.upstream.start()
             self.addAsyncCleanup(vm.upstream.stop)
             vm.start()
-            self.addCleanup(vm.end)
+            self.addCleanup(vm.kill)
         self.session = aiohttp.ClientSession()
         self.addAsyncCleanup(self.session.close)
         self.number = 0
-        await self.until(self.serves)
+        await self.wait_until(self.serves)
 
-    async def until(self, condition):
-        """Wait until a coroutine function returns something true."""
+    async def wait_until(self, condition):
+        """Wait until a coroutine function returns a true value."""
         async with asyncio.timeout(BOUND_SECONDS):
             while not await condition():
                 await asyncio.sleep(0.05)
 
     async def serves(self):
-        status, _, _ = await self.ask("/read/ready")
+        status, _, _ = await self.send("/read/ready")
         return status == 200
 
-    async def ask(self, path, vm=0, host="h.example"):
-        """Return status, fields and body; 0 without an answer."""
+    async def send(self, path, vm=0, host="h.example"):
+        """Return status, header fields and body; status 0 for no answer."""
         self.number += 1
         fields = {
             "Host": host,
@@ -181,42 +181,42 @@
         async with self.session.get(self.vms[vm].url("ready") + "/ready") as response:
             return response.status
 
-    async def test_a_request_crosses_two_daemons_and_comes_back_as_it_is(self):
-        status, fields, body = await self.ask("/read/1?x=%20y")
+    async def test_a_request_is_forwarded_by_two_daemons_unchanged(self):
+        status, fields, body = await self.send("/read/1?x=%20y")
         self.assertEqual((status, body), (200, "i-1 ran /read/1?x=%20y"))
         self.assertEqual(fields["X-Papayabay-Upstream-Signature"], "signed-i-1")
         self.assertEqual(fields["X-Papayabay-Request-Id"], f"{self.number:x}")
-        _, seen = self.vms[1].upstream.seen[-1]
-        self.assertEqual(seen["x-papayabay-caller-service"], "svc-0")
-        self.assertLessEqual(int(seen["x-papayabay-deadline-ms"]), 5_000)
-        self.assertEqual(seen["host"], "h.example")
+        _, received = self.vms[1].upstream.executed[-1]
+        self.assertEqual(received["x-papayabay-caller-service"], "svc-0")
+        self.assertLessEqual(int(received["x-papayabay-deadline-ms"]), 5_000)
+        self.assertEqual(received["host"], "h.example")
         self.assertEqual(await self.ready(0), 200)
-        self.assertEqual((await self.ask("/else/1"))[0], 404)
+        self.assertEqual((await self.send("/else/1"))[0], 404)
 
-    async def test_a_new_version_is_in_force_at_all_and_outlives_the_store(self):
+    async def test_a_new_version_applies_on_all_daemons_while_the_store_is_down(self):
         changed = CONFIGURATION | {"version": "r8", "routes": []}
         await self.store.put("op", "config", changed)
 
-        async def gone():
-            answers = [await self.ask("/read/1", vm) for vm in range(2)]
+        async def route_removed():
+            answers = [await self.send("/read/1", vm) for vm in range(2)]
             return [status for status, _, _ in answers] == [404, 404]
 
-        await self.until(gone)
-        self.store.failing = 503
-        self.assertTrue(await gone())
+        await self.wait_until(route_removed)
+        self.store.failure_status = 503
+        self.assertTrue(await route_removed())
 
-    async def test_a_store_that_comes_back_from_an_older_copy_is_caught_up(self):
-        """What was lost is written again, and what is written since is heard.
+    async def test_daemons_recover_from_a_store_restored_from_an_older_copy(self):
+        """Daemons write lost rows again, and read what is written later.
 
-        The copy has none of papayabay's rows. The store has come to its former
-        version again before anybody asks it.
+        The store loses all of papayabay's rows, and reaches its former version
+        number again before any daemon reads it.
         """
 
-        async def seeds_kept():
-            kept = {key for table, key in self.store.rows if table == "papayabay"}
-            return kept >= {"seeds/zone-0", "seeds/zone-1"}
+        async def seeds_stored():
+            keys = {key for table, key in self.store.rows if table == "papayabay"}
+            return keys >= {"seeds/zone-0", "seeds/zone-1"}
 
-        await self.until(seeds_kept)
+        await self.wait_until(seeds_stored)
         rows, version = self.store.copy()
         rows = {name: row for name, row in rows.items() if name[0] != "papayabay"}
         for _ in range(5):
@@ -227,94 +227,93 @@
         for _ in range(9):
             await self.store.put("others", "row", {})
 
-        async def gone():
-            answers = [await self.ask("/read/1", vm) for vm in range(2)]
+        async def route_removed():
+            answers = [await self.send("/read/1", vm) for vm in range(2)]
             return [status for status, _, _ in answers] == [404, 404]
 
-        await self.until(gone)
-        await self.until(seeds_kept)
+        await self.wait_until(route_removed)
+        await self.wait_until(seeds_stored)
 
-    async def test_a_draining_upstream_gets_nothing_new(self):
-        """A leaving upstream got work after its report was acknowledged."""
+    async def test_a_draining_upstream_gets_no_new_requests(self):
+        """Guards against requests after the drain was acknowledged."""
         upstream = self.vms[1].upstream
         upstream.state = "draining"
-        await asyncio.wait_for(upstream.acknowledged.wait(), BOUND_SECONDS)
-        served = len(upstream.seen)
-        status, fields, _ = await self.ask("/read/1")
+        await asyncio.wait_for(upstream.drain_acknowledged.wait(), BOUND_SECONDS)
+        served = len(upstream.executed)
+        status, fields, _ = await self.send("/read/1")
         self.assertEqual(status, 503)
         self.assertIn("Retry-After", fields)
-        self.assertEqual(len(upstream.seen), served)
+        self.assertEqual(len(upstream.executed), served)
 
-    async def test_a_stop_cuts_off_no_request(self):
-        """Symptom: a request in flight was lost when its daemon was stopped.
+    async def test_sigterm_does_not_abort_requests_in_flight(self):
+        """A request in flight was lost when its daemons were stopped.
 
-        Sequence: the upstream works on it; the daemon beside it, and then
-        the one that took it, get SIGTERM; the upstream answers after that.
+        The daemons of the caller and of the upstream get SIGTERM while the
+        upstream runs the request, and the upstream answers after that.
         """
         upstream = self.vms[1].upstream
-        upstream.hold.clear()
-        running = len(upstream.seen)
-        asked = asyncio.create_task(self.ask("/read/slow"))
+        upstream.may_answer.clear()
+        running = len(upstream.executed)
+        request = asyncio.create_task(self.send("/read/slow"))
 
-        async def runs():
-            return len(upstream.seen) > running
+        async def started():
+            return len(upstream.executed) > running
 
-        await self.until(runs)
+        await self.wait_until(started)
         for vm in self.vms:
             vm.process.send_signal(signal.SIGTERM)
 
-        async def refused():
+        async def not_ready():
             return await self.ready(0) == 503
 
-        await self.until(refused)
-        upstream.hold.set()
-        status, _, body = await asked
+        await self.wait_until(not_ready)
+        upstream.may_answer.set()
+        status, _, body = await request
         self.assertEqual((status, body), (200, "i-1 ran /read/slow"))
         for vm in self.vms:
-            ended = await asyncio.to_thread(vm.process.wait, BOUND_SECONDS)
-            self.assertEqual(ended, 0)
+            exit_code = await asyncio.to_thread(vm.process.wait, BOUND_SECONDS)
+            self.assertEqual(exit_code, 0)
 
-    async def test_a_killed_daemon_is_back_and_serves_before_the_next_beat(self):
-        """Symptom: a target served nobody after its daemon was back.
+    async def test_a_restarted_daemon_serves_before_the_next_heartbeat(self):
+        """A target got no requests after its daemon was killed and restarted.
 
-        Sequence: the daemon is killed and started again, the upstream runs
-        on and will send its next heartbeat later. Cause: the daemon waited
-        for it.
+        The upstream ran on, but the daemon did not use it before its next
+        heartbeat, which could be late.
         """
-        self.vms[1].upstream.beating.clear()
-        self.vms[1].end()
+        self.vms[1].upstream.may_send_heartbeats.clear()
+        self.vms[1].kill()
         self.vms[1].start()
-        await self.until(self.serves)
+        await self.wait_until(self.serves)
 
-    async def test_a_rejected_request_is_told_as_not_run(self):
+    async def test_a_rejected_request_is_reported_as_not_run(self):
         upstream = self.vms[1].upstream
-        upstream.seen.clear()
+        upstream.executed.clear()
         upstream.faults = ["reject"]
-        status, fields, _ = await self.ask("/write/order")
+        status, fields, _ = await self.send("/write/order")
         self.assertEqual(status, 503)
         self.assertGreater(float(fields["Retry-After"]), 0)
-        self.assertEqual(upstream.seen, [])
+        self.assertEqual(upstream.executed, [])
 
-    async def test_a_request_whose_answer_is_lost_is_not_promised(self):
+    async def test_a_lost_answer_is_not_reported_as_not_run(self):
         """A caller placed an order twice.
 
-        Sequence: the upstream runs the order, and its answer is lost or can't
-        be read; the caller is told that it has not run, and asks again. Cause:
-        a broken connection taken for a refusal.
+        The upstream ran the order, and its answer was lost or unreadable. The
+        daemon took the broken connection for a refusal and answered that the
+        order was not run, so the caller sent it again.
         """
         upstream = self.vms[1].upstream
         for fault in ("drop", "garble", "truncate"):
             with self.subTest(fault=fault):
-                upstream.seen.clear()
+                upstream.executed.clear()
                 upstream.faults = [fault]
-                status, _, _ = await self.ask("/write/order")
+                status, _, _ = await self.send("/write/order")
                 self.assertIn(status, {0, 502, 504})
-                self.assertEqual(len(upstream.seen), 1)
+                self.assertEqual(len(upstream.executed), 1)
 
-    async def test_an_extra_answer_reaches_no_other_request(self):
+    async def test_an_extra_answer_is_not_used_for_another_request(self):
         upstream = self.vms[1].upstream
         upstream.faults = ["extra"]
         for number in range(4):
-            status, _, body = await self.ask(f"/read/{number}")
+            status, _, body = await self.send(f"/read/{number}")
             self.assertEqual(status, 200)
             self.assertEqual(body, f"i-1 ran /read/{number}")
--- a/tests/lib/platform_store.py
+++ b/tests/lib/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, by its published protocol, in memory."""
+"""An in-memory stand-in for the platform's store, with the same HTTP API."""
 
 import asyncio
 import base64
@@ -8,30 +8,30 @@
 
 
 class PlatformStore:
-    """Rows with versions, conditional writes and a feed of changes.
+    """A store with versioned rows, conditional writes and a feed of changes.
 
     Attributes
     ----------
-    failing : int
-        Status that every call is answered with; 0 while it serves.
+    failure_status : int
+        HTTP status with which all requests fail; 0 for none.
     calls : dict of str to int
-        How often each path was called.
+        Number of requests by path.
     era : int
-        Told in every answer; 0 for a store that tells none.
+        Sent with every answer; 0 for a store that does not send its era.
     """
 
     def __init__(self):
         self.rows = {}
         self.version = 0
         self.changed = asyncio.Condition()
-        self.failing = 0
+        self.failure_status = 0
         self.calls = {}
         self.era = 0
         self.runner = None
         self.port = 0
 
     async def start(self, host="127.0.0.1"):
-        application = web.Application(middlewares=[self.count])
+        application = web.Application(middlewares=[self.handle_request])
         application.add_routes(
             [
                 web.get("/rows-get", self.get_rows),
@@ -49,21 +49,21 @@
         await self.runner.cleanup()
 
     @web.middleware
-    async def count(self, request, handler):
+    async def handle_request(self, request, handler):
         self.calls[request.path] = self.calls.get(request.path, 0) + 1
-        if self.failing:
-            return web.Response(status=self.failing)
+        if self.failure_status:
+            return web.Response(status=self.failure_status)
         response = await handler(request)
         if self.era:
             response.headers["Store-Era"] = str(self.era)
         return response
 
     def copy(self):
-        """Return what the store holds now."""
+        """Return a copy of the rows and the version, for `restore`."""
         return dict(self.rows), self.version
 
     async def restore(self, copy):
-        """Come back from an older copy; what was written since is gone."""
+        """Restore a copy, as a new era; all later writes are lost."""
         async with self.changed:
             rows, self.version = copy
             self.rows = dict(rows)
@@ -78,7 +78,7 @@
             self.rows[table, key] = (content, self.version)
             self.changed.notify_all()
 
-    def page(self, rows):
+    def rows_response(self, rows):
         listed = [
             {"table": table, "part": "", "key": key, "value": value, "ver": version}
             for (table, key), (value, version) in rows
@@ -94,14 +94,14 @@
             for item in self.rows.items()
             if item[0][0] == query["table"] and first <= item[0][1] < end
         )
-        return self.page(chosen[:limit])
+        return self.rows_response(chosen[:limit])
 
     async def feed_rows(self, request):
         table, after = request.query["table"], int(request.query["after"])
         if after > self.version:
             return web.Response(status=410)
 
-        def news():
+        def changed_rows():
             return [
                 item
                 for item in self.rows.items()
@@ -111,10 +111,10 @@
         async with self.changed:
             try:
                 async with asyncio.timeout(int(request.query["waitMs"]) / 1_000):
-                    await self.changed.wait_for(news)
+                    await self.changed.wait_for(changed_rows)
             except TimeoutError:
                 pass
-            return self.page(news())
+            return self.rows_response(changed_rows())
 
     async def write_rows(self, request):
         body = await request.json()
--- a/tests/lib/platform_upstream.py
+++ b/tests/lib/platform_upstream.py
@@ -1,28 +1,31 @@
-"""A stand-in of an upstream: it reports itself and answers, signed."""
+"""A stand-in for an upstream that sends heartbeats and answers requests."""
 
 import asyncio
 
 import aiohttp
 from aiohttp import web
 
-HEARTBEAT_SECONDS = 0.1
+HEARTBEAT_PERIOD_S = 0.1
 
 
 class Upstream:
-    """One process of a service, within the test's own process.
+    """One upstream of a service, run within the test's process.
 
     Attributes
     ----------
-    seen : list of (str, dict)
+    executed : list of (str, dict)
         Path and header fields of each request that it ran.
-    beating : asyncio.Event
+    may_send_heartbeats : asyncio.Event
         Heartbeats are sent while it is set.
-    hold : asyncio.Event
+    may_answer : asyncio.Event
         Requests wait for it before they are answered.
+    drain_acknowledged : asyncio.Event
+        Set once a daemon has accepted a heartbeat with the state draining.
     faults : list of str
-        What goes wrong with the next requests, one each: ``reject`` it before
-        it runs, run it and ``drop`` the connection, answer with ``garble``
-        that is no HTTP, ``truncate`` the body, send an ``extra`` answer.
+        Faults of the next requests, one each: ``reject`` refuses it before it
+        runs; the others run it and then ``drop`` the connection, answer with
+        bytes that are no HTTP (``garble``), ``truncate`` the body, or send an
+        ``extra`` answer.
     """
 
     def __init__(self, service, host, port, control_port, instance):
@@ -33,13 +36,13 @@
         self.instance = instance
         self.state = "ready"
         self.sequence = 0
-        self.seen = []
+        self.executed = []
         self.faults = []
-        self.hold = asyncio.Event()
-        self.hold.set()
-        self.acknowledged = asyncio.Event()
-        self.beating = asyncio.Event()
-        self.beating.set()
+        self.may_answer = asyncio.Event()
+        self.may_answer.set()
+        self.drain_acknowledged = asyncio.Event()
+        self.may_send_heartbeats = asyncio.Event()
+        self.may_send_heartbeats.set()
 
     async def start(self):
         application = web.Application()
@@ -47,7 +50,7 @@
         self.runner = web.AppRunner(application, shutdown_timeout=0.1)
         await self.runner.setup()
         await web.TCPSite(self.runner, self.host, self.port).start()
-        self.task = asyncio.create_task(self.report())
+        self.task = asyncio.create_task(self.run_heartbeats())
 
     async def stop(self):
         self.task.cancel()
@@ -57,44 +60,44 @@
     async def answer(self, request):
         fields = {name.lower(): value for name, value in request.headers.items()}
         if request.path == "/healthz":
-            return self.health()
+            return self.health_response()
         if fields["x-papayabay-expected-instance"] != self.instance:
             return web.Response(status=421)
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "reject":
             return web.Response(status=503, headers={"X-Papayabay-Not-Run": "full"})
-        self.seen.append((request.path_qs, fields))
-        await self.hold.wait()
+        self.executed.append((request.path_qs, fields))
+        await self.may_answer.wait()
         text = f"{self.instance} ran {request.path_qs}"
         headers = {
             "X-Papayabay-Request-Id": fields["x-papayabay-request-id"],
             "X-Papayabay-Upstream-Signature": f"signed-{self.instance}",
         }
         if fault:
-            return await self.spoil(request, fault, headers, text.encode())
+            return await self.answer_faultily(request, fault, headers, text.encode())
         return web.Response(text=text, headers=headers)
 
-    async def spoil(self, request, fault, headers, body):
-        """Answer with bytes that are not the whole and only answer."""
+    async def answer_faultily(self, request, fault, headers, body):
+        """Answer with the bytes of a fault, and close the connection."""
         fields = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n{fields}\r\n"
-        whole = head.encode() + body
+        complete = head.encode() + body
         transport = request.transport
         transport.write(
             {
                 "drop": b"",
                 "garble": b"\x16\x03\x01 this is no answer\r\n\r\n",
-                "truncate": whole[:-3],
-                "extra": whole + whole,
+                "truncate": complete[:-3],
+                "extra": complete + complete,
             }[fault]
         )
-        # Sent before the connection ends: what is lost with a reset would be
-        # another fault.
+        # Lets the bytes arrive before the connection is closed; a reset could
+        # discard them, which is another fault.
         await asyncio.sleep(0.05)
         transport.close()
         return web.Response()
 
-    def health(self):
+    def health_response(self):
         return web.Response(
             status=200 if self.state == "ready" else 503,
             headers={
@@ -103,14 +106,14 @@
             },
         )
 
-    async def report(self):
+    async def run_heartbeats(self):
         async with aiohttp.ClientSession() as session:
             while True:
-                await self.beating.wait()
-                await self.beat(session)
-                await asyncio.sleep(HEARTBEAT_SECONDS)
+                await self.may_send_heartbeats.wait()
+                await self.send_heartbeat(session)
+                await asyncio.sleep(HEARTBEAT_PERIOD_S)
 
-    async def beat(self, session):
+    async def send_heartbeat(self, session):
         self.sequence += 1
         heartbeat = {
             "address": f"{self.host}:{self.port}",
@@ -122,10 +125,10 @@
             },
         }
         url = f"{self.control}/Instances.Heartbeat/{self.instance}"
-        said = self.state
+        sent_state = self.state
         try:
             async with session.post(url, json=heartbeat) as response:
-                if response.status == 200 and said == "draining":
-                    self.acknowledged.set()
+                if response.status == 200 and sent_state == "draining":
+                    self.drain_acknowledged.set()
         except aiohttp.ClientError:
             pass
