--- a/tests/functional/cli_support.py
+++ b/tests/functional/cli_support.py
@@ -1,4 +1,4 @@
-"""Runs the command line as operators do, against the platform stand-in."""
+"""Runs the command line as a process, against a stand-in for the platform."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
 COMMAND = [sys.executable, "-P", "-m", "papayabay_cli"]
-SECONDS = 60.0
+TIMEOUT_S = 60.0
 POLICY = """
 [services.orders]
 deadline_ms = {deadline_ms}
@@ -27,7 +27,7 @@
 
 @dataclass
 class Run:
-    """How one command ended."""
+    """Exit code and output of a finished command."""
 
     code: int
     out: str
@@ -39,7 +39,7 @@
 
 
 class CliCase(unittest.IsolatedAsyncioTestCase):
-    """Serves a stand-in, and writes settings that name it."""
+    """Serves a stand-in for the platform, and writes settings that name it."""
 
     async def asyncSetUp(self):
         self.platform = await serve_platform(seed=5)
@@ -83,9 +83,9 @@
         )
 
     async def finish(self, process):
-        """Wait for the end of a command and return its `Run`."""
+        """Wait until a command has finished, and return its `Run`."""
         try:
-            out, err = await asyncio.wait_for(process.communicate(), SECONDS)
+            out, err = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
         finally:
             if process.returncode is None:
                 process.kill()
@@ -94,6 +94,6 @@
         return run
 
     async def apply(self, deadline_ms, expect, *more):
-        """Apply a policy that differs from others in its deadline."""
+        """Apply a policy file with a deadline, against version `expect`."""
         file = self.policy_file(deadline_ms, f"policy-{deadline_ms}.toml")
         return await self.run_cli("apply", file, "--expect", str(expect), *more)
--- a/tests/functional/test_cli_configuration.py
+++ b/tests/functional/test_cli_configuration.py
@@ -12,7 +12,7 @@
 
 
 class CheckTest(CliCase):
-    async def test_every_example_passes(self):
+    async def test_every_example_is_valid(self):
         files = sorted(map(str, EXAMPLES.glob("*.toml")))
         run = await self.run_cli("check", *files)
         self.assertEqual((run.code, run.err), (0, ""))
@@ -23,15 +23,15 @@
         self.assertIn("diritti-padani.toml: valid policy", run.out)
         self.assertEqual(self.platform.stand_in.counters.values()["reads"], 0)
 
-    async def test_names_every_error_with_file_and_key(self):
+    async def test_every_error_is_printed_with_file_and_key(self):
         policy = self.write(
             "p.toml",
             "[services.a]\ndeadline_ms = -1\nretrys = 3\n"
             '[services.a.calls.c]\nmethods = ["GET"]\npath = "x"\n',
         )
         daemon = self.write("d.toml", '[vm]\nname = "n"\n')
-        strange = self.write("s.toml", "color = 1\n")
-        run = await self.run_cli("check", policy, daemon, strange, "/missing.toml")
+        unknown = self.write("s.toml", "color = 1\n")
+        run = await self.run_cli("check", policy, daemon, unknown, "/missing.toml")
         self.assertEqual((run.code, run.out), (2, ""))
         for expected in (
             f"{policy}: services.a.deadline_ms: ",
@@ -39,12 +39,12 @@
             f"{policy}: services.a.calls.c.path: ",
             f"{daemon}: vm.failure_domain: ",
             f"{daemon}: cluster: ",
-            f"{strange}: (whole file): ",
+            f"{unknown}: (whole file): ",
             "/missing.toml: No such file",
         ):
             self.assertIn(expected, run.err)
 
-    async def test_tells_programs_about_each_file(self):
+    async def test_json_has_a_result_for_each_file(self):
         bad = self.write("p.toml", "[services.a]\nretrys = 3\n")
         run = await self.run_cli("check", "--json", bad, str(EXAMPLES / "daemon.toml"))
         self.assertEqual(run.code, 2)
@@ -52,15 +52,14 @@
 
 
 class UsageTest(CliCase):
-    async def test_wrong_usage_is_2_before_anything_is_done(self):
-        """A misspelt flag must not follow a patch that is stored.
+    async def test_wrong_usage_exits_with_2_and_writes_nothing(self):
+        """Guards against exit code 2 after the patch was stored.
 
-        Symptom: exit 2, and yet a new version. Sequence: the parser calls
-        the command, then finds a flag left over. Cause: it looks at what is
-        left only after the call.
+        The argument parser reports unknown flags only after it has called the
+        command, which had committed the patch by then.
         """
         file = self.policy_file(1)
-        for arguments, told in (
+        for arguments, message in (
             (["apply", file, "--expect", "0", "--autor", "x"], "autor"),
             (["apply", file], "expect"),
             (["apply", file, "--expect", "now"], "--expect: 'now'"),
@@ -74,10 +73,10 @@
             with self.subTest(arguments=arguments):
                 run = await self.run_cli(*arguments)
                 self.assertEqual(run.code, 2)
-                self.assertIn(told, run.err)
+                self.assertIn(message, run.err)
         self.assertEqual(self.platform.stand_in.counters.values()["writes"], 0)
 
-    async def test_help_is_given_for_every_command(self):
+    async def test_help_of_commands_lists_exit_codes(self):
         commands = "check diff apply settle show history status explain"
         for words in (*([name] for name in commands.split()), ["report", "burn"]):
             run = await self.run_cli(*words, "--help")
@@ -86,7 +85,7 @@
 
 
 class ApplyTest(CliCase):
-    async def test_life_of_a_policy(self):
+    async def test_policy_is_applied_compared_and_listed(self):
         made = await self.apply(1000, 0, "--author", "ilze", "--message", "007")
         self.assertEqual(made.code, 0)
         self.assertIn("accepted: version 1", made.out)
@@ -107,7 +106,7 @@
         self.assertRegex(listed.out, r"(?m)^2 .*marco")
         self.assertNotIn("ilze", listed.out)
 
-    async def test_show_prints_a_policy_file_again(self):
+    async def test_show_prints_the_policy_as_it_was_applied(self):
         file = str(EXAMPLES / "baltkrasts.toml")
         await self.run_cli("apply", file, "--expect", "0")
         await self.apply(1, 1)
@@ -120,25 +119,24 @@
         self.assertEqual((missing.code, missing.out), (2, ""))
         self.assertIn("there is no version 9", missing.err)
 
-    async def test_stale_tells_what_changed_and_by_whom(self):
+    async def test_stale_lists_the_patches_since_the_base_version(self):
         await self.apply(1000, 0)
         await self.apply(1100, 1, "--author", "ilze", "--message", "shift start")
         run = await self.apply(1200, 1)
         self.assertEqual(run.code, 3)
-        for told in ("2 is current", "ilze", "shift start", "orders.deadline_ms"):
-            self.assertIn(told, run.err)
+        for text in ("2 is current", "ilze", "shift start", "orders.deadline_ms"):
+            self.assertIn(text, run.err)
         again = await self.apply(1000, 1, "--json")
         self.assertEqual(again.code, 3)
         self.assertEqual(again.values["changes"][0]["author"], "ilze")
         shown = await self.run_cli("show")
         self.assertIn("deadline_ms = 1100", shown.out)
 
-    async def test_of_racing_patches_exactly_one_wins(self):
-        """Operators race each other against the same version.
+    async def test_of_concurrent_patches_exactly_one_is_accepted(self):
+        """Guards against a patch that silently overwrites a concurrent one.
 
-        Symptom: the slower patch silently overwrites the faster. Sequence:
-        both read version 1, both write version 2. Cause: a write that does
-        not depend on what was read.
+        Several operators read version 1 and write version 2; the store must
+        reject every write but the first.
         """
         await self.apply(1000, 0)
         runs = await asyncio.gather(
@@ -151,7 +149,7 @@
         orders = shown.values["values"]["services"]["orders"]
         self.assertEqual(orders["deadline_ms"], 1001 + winner)
 
-    async def test_store_down_is_5_and_nothing_is_written(self):
+    async def test_store_down_exits_with_5_and_writes_nothing(self):
         await self.apply(1000, 0)
         for down in ("close", "unavailable"):
             self.fail_with(down=down)
@@ -163,23 +161,22 @@
         self.fail_with()
         self.assertIn("deadline_ms = 1000", (await self.run_cli("show")).out)
 
-    async def test_lost_answer_is_settled_by_reading_back(self):
-        """The store applies a write, and its answer is lost.
+    async def test_after_a_lost_answer_the_patch_is_read_back(self):
+        """Guards against an accepted patch that is reported as failed.
 
-        Symptom: an accepted patch is reported as failed, and the operator
-        applies it twice. Cause: a broken connection taken for a refusal.
+        The store applies the write, but the connection breaks before its
+        answer arrives; the operator would apply the patch twice.
         """
         self.fail_with(kind="table", lost_answer=1.0)
         run = await self.apply(1000, 0)
         self.assertEqual(run.code, 0, run.err)
         self.assertIn("accepted: version 1", run.out)
 
-    async def test_unknown_names_the_patch_to_settle(self):
-        """The store applies a write, then answers nothing at all.
+    async def test_unknown_outcome_prints_the_settle_command(self):
+        """Guards against an operator who can't find out a patch's outcome.
 
-        Symptom: nobody can tell whether the patch is stored. Sequence: the
-        write takes effect, its answer is lost, and reads see the state
-        before it for as long as the command asks.
+        The write takes effect and its answer is lost; reads return the state
+        before the write for as long as the command retries.
         """
         self.fail_with(kind="table", lost_answer=1.0, stale_ms=8_000)
         run = await self.apply(1000, 0)
@@ -193,12 +190,11 @@
         other = await self.run_cli("settle", "123456", "--base", "0", "--json")
         self.assertEqual((other.code, other.values["patch_id"]), (3, "123456"))
 
-    async def test_interrupted_names_the_patch_to_settle(self):
-        """The operator interrupts a command that seems to hang.
+    async def test_interrupted_apply_prints_the_settle_command(self):
+        """Guards against a patch identifier that is lost on an interrupt.
 
-        Symptom: a patch may be stored, and its identifier is lost.
-        Sequence: the write takes effect, its answer is lost, the command
-        asks again and again, the operator presses Ctrl-C.
+        The write takes effect and its answer is lost; the operator presses
+        Ctrl-C while the command still tries to read the outcome.
         """
         self.fail_with(kind="table", lost_answer=1.0, stale_ms=8_000)
         process = await self.start_cli("apply", self.policy_file(1), "--expect", "0")
@@ -215,10 +211,10 @@
 
 class SettleTest(CliCase):
     async def test_identifier_of_digits_stays_a_string(self):
-        """A patch identifier looks like a number.
+        """Guards against patch identifiers that are parsed as numbers.
 
-        Symptom: `settle` never finds a stored patch. Sequence: identifier
-        `000012345678901234567890` is read as the number 12345678901234567890.
+        `settle` did not find the stored patch `000012345678901234567890`
+        because it looked for 12345678901234567890.
         """
         from dataclasses import replace
 
--- a/tests/functional/test_cli_fleet.py
+++ b/tests/functional/test_cli_fleet.py
@@ -1,4 +1,4 @@
-"""Commands that ask the daemons, on a small fleet of real processes."""
+"""Commands that query daemons, on a small fleet of daemon processes."""
 
 import json
 from pathlib import Path
@@ -38,8 +38,8 @@
 REQUESTS = 4
 PLAN = FleetPlan(
     services=[ServicePlan(name="orders", paths=[CallPath(prefix="/")])],
-    # A paused daemon has to stay a member while the test asks for it. Nobody
-    # reads the store again once it has started.
+    # A paused daemon has to stay a member during the test, and no daemon may
+    # poll the store after its start.
     timing={"suspicion_ms": 120_000, "config_poll_ms": 3_600_000},
 )
 
@@ -89,11 +89,11 @@
         self.assertEqual(paths["browse"]["share_of_bad"], 1.0)
         self.assertIn("data:image/png;base64,", Path(page).read_text())
 
-    async def test_a_silent_daemon_is_named_not_made_up(self):
-        """A daemon is paused while operators ask.
+    async def test_a_daemon_that_does_not_answer_is_listed(self):
+        """Guards against reports that count an unresponsive daemon as zero.
 
-        Symptom: the report looks whole though a daemon's counts are
-        missing. Cause: silence taken for zeros.
+        A daemon is paused while the report is made; the report seemed complete
+        though its counts were missing.
         """
         self.fleet.pause("orders-1")
         self.addCleanup(self.fleet.resume, "orders-1")
@@ -105,12 +105,11 @@
         report = await self.run_cli("report", "burn")
         self.assertIn("not heard: orders-1", report.out)
 
-    async def test_accepted_patch_needs_no_reader(self):
-        """The store failed right after a commit; the patch was not in force.
+    async def test_accepted_patch_is_in_force_while_the_store_is_down(self):
+        """Guards against an accepted patch that no daemon knows of.
 
-        Symptom: an accepted patch comes in force only when the store is
-        back. Sequence: commit, store down, no reader has polled in between.
-        Cause: only the command that committed it knew the patch.
+        The store fails right after the commit, before any daemon has polled
+        it; the patch came in force only when the store was back.
         """
         file = self.write("policy.toml", POLICY.replace("3000", "2500"))
         run = await self.run_cli("apply", file, "--expect", "1")
@@ -119,11 +118,10 @@
         await self.fleet.wait_version(2)
 
     async def test_patches_without_the_proof_are_refused(self):
-        """A process beside a daemon puts a policy in force everywhere.
+        """Guards against patches from processes without the cluster's secret.
 
-        Symptom: a version in force that the store never had. Sequence: a
-        POST to the status door, without the secret or with another proof.
-        Cause: the door took patches from whoever reached it.
+        Any process that could reach a daemon's status port could put a version
+        in force on all daemons that the store never had.
         """
         content = encode_patches([new_patch(1, {"services": {}}, "nobody", "")])
         url = self.fleet.door("orders-0", "status_port") + PATCHES
@@ -131,16 +129,18 @@
         for headers in ({}, {PROOF_HEADER: other}, {PROOF_HEADER: "é"}):
             async with self.fleet.session.post(
                 url, data=content, headers=headers
-            ) as got:
-                self.assertEqual(got.status, 400)
-                self.assertIn(PROOF_HEADER, await got.text())
+            ) as answer:
+                self.assertEqual(answer.status, 400)
+                self.assertIn(PROOF_HEADER, await answer.text())
         page = await self.fleet.status("orders-0")
         self.assertEqual(page["configuration"]["version"], 1)
         right = {PROOF_HEADER: prove_patches(CLUSTER["secret"], content)}
-        async with self.fleet.session.post(url, data=content, headers=right) as got:
-            self.assertEqual((got.status, await got.json()), (200, {"version": 2}))
+        async with self.fleet.session.post(url, data=content, headers=right) as answer:
+            self.assertEqual(
+                (answer.status, await answer.json()), (200, {"version": 2})
+            )
 
-    async def test_explain_names_the_patch(self):
+    async def test_explain_prints_settings_with_their_patches(self):
         changed = POLICY.replace("deadline_ms = 3000", "deadline_ms = 2500")
         file = self.write("policy.toml", changed)
         more = ("--author", "marco", "--message", "shorter")
@@ -164,8 +164,8 @@
         self.assertIn("names no service 'nobody'", other.err)
 
 
-class NobodyTest(CliCase):
-    async def test_no_daemon_at_all_is_5(self):
+class NoDaemonTest(CliCase):
+    async def test_unreachable_daemons_exit_with_5(self):
         self.write_settings(["http://127.0.0.1:9"])
         for words in (["status"], ["report", "burn"]):
             run = await self.run_cli(*words)
@@ -174,7 +174,7 @@
         self.write_settings([])
         self.assertEqual((await self.run_cli("status")).code, 2)
 
-    async def test_report_on_a_recorded_run(self):
+    async def test_report_from_a_file(self):
         recording = {
             "recorded_at_ms": 1_764_000_000_000,
             "version": 7,
--- a/tests/unit/cli/test_policy_page.py
+++ b/tests/unit/cli/test_policy_page.py
@@ -1,4 +1,4 @@
-"""The page on the policy says what the policy's models say."""
+"""The documentation of the policy agrees with the policy's models."""
 
 import json
 import re
@@ -34,18 +34,18 @@
 
 
 def rows_of(section):
-    """Return key and default of each row of a section's first table."""
+    """Return the default by key, from the first table of a section."""
     body = PAGE.split(f"\n## {section}\n")[1].split("\n## ")[0].split("\n### ")[0]
     return {key: default.strip("`") for key, _, default in ROW.findall(body)}
 
 
 class PageTest(unittest.TestCase):
-    def test_every_key_stands_there_and_no_other(self):
+    def test_exactly_the_models_keys_are_documented(self):
         for section, model in SECTIONS.items():
             with self.subTest(section):
                 self.assertEqual(rows_of(section).keys(), model.model_fields.keys())
 
-    def test_defaults_are_those_of_the_models(self):
+    def test_documented_defaults_are_those_of_the_models(self):
         for section, model in SECTIONS.items():
             rows = rows_of(section)
             for name, field in model.model_fields.items():
