--- a/tests/functional/test_accounts.py
+++ b/tests/functional/test_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts on a fleet of processes, and what operators see of them."""
+"""Client accounts on a fleet of daemon processes, and their reports."""
 
 import asyncio
 from pathlib import Path
@@ -16,7 +16,7 @@
 
 
 def policy_of(*accounts, **limits):
-    """Return a policy with some of the accounts."""
+    """Return a policy with some of the accounts, each with the same limits."""
     return {
         "services": {
             SERVICE: {
@@ -42,19 +42,19 @@
         self.fleet = await self.enterAsyncContext(Fleet(plan))
         await self.fleet.wait_members()
         self.version = 0
-        await self.put(policy_of())
+        await self.apply_patch(policy_of())
         await self.fleet.wait_services()
-        await self.put(policy_of("shop", "kiosk"))
-        self.names = iter(range(1_000_000))
+        await self.apply_patch(policy_of("shop", "kiosk"))
+        self.request_numbers = iter(range(1_000_000))
 
-    async def put(self, changes):
-        """Put changes in force, as a merge patch."""
+    async def apply_patch(self, changes):
+        """Commit a merge patch and wait until it is in force."""
         self.version = await self.fleet.apply(changes, self.version)
         await self.fleet.wait_version(self.version)
 
     async def call(self, key, path="/read", entry=-1):
-        """Return status and error kind of one call."""
-        name = f"r{next(self.names)}"
+        """Send a request; return its status and error kind."""
+        name = f"r{next(self.request_numbers)}"
         headers = {
             "Papayabay-Service": SERVICE,
             "Bench-Nonce": name,
@@ -65,23 +65,23 @@
         url = self.fleet.caller_url(list(self.fleet.daemons)[entry]) + path
         async with self.fleet.session.get(url, headers=headers) as answer:
             content = await answer.read()
-        self.answered = content
+        self.last_content = content
         return answer.status, kind_of(answer, content) if answer.status >= 400 else ""
 
-    async def until(self, key, expected):
+    async def wait_for_result(self, key, expected):
         async with asyncio.timeout(BOUND_S):
             while await self.call(key) != expected:
                 await asyncio.sleep(0.05)
 
-    async def test_keys_are_checked_revoked_and_shown_to_nobody(self):
+    async def test_keys_are_checked_revoked_and_never_shown(self):
         """Guards against a key in a log, an answer, a status or a report."""
         self.assertEqual((await self.call(KEYS["shop"]))[0], 200)
         self.assertEqual((await self.call("", "/open"))[0], 200)
         for key in ("", "guessed"):
             self.assertEqual(await self.call(key), (401, "unauthenticated"))
-        await self.put({"accounts": {"kiosk": None}})
+        await self.apply_patch({"accounts": {"kiosk": None}})
         self.assertEqual(await self.call(KEYS["kiosk"]), (401, "unauthenticated"))
-        seen = [self.answered]
+        outputs = [self.last_content]
         names = list(self.fleet.daemons)
         self.write_settings([self.fleet.door(name, "status_port") for name in names])
         listed = await self.run_cli("accounts", "list", "--json")
@@ -92,15 +92,15 @@
         table = await self.run_cli("accounts", "list")
         self.assertIn("requests without a key: 1", table.out)
         shown = await self.run_cli("status", "--json")
-        seen += [one.out.encode() for one in (listed, table, shown)]
-        seen += [path.read_bytes() for path in self.output_files()]
+        outputs += [one.out.encode() for one in (listed, table, shown)]
+        outputs += [path.read_bytes() for path in self.output_files()]
         for key in KEYS.values():
-            self.assertFalse([part for part in seen if key.encode() in part])
+            self.assertFalse([text for text in outputs if key.encode() in text])
 
-    async def test_a_limit_holds_over_all_entries(self):
-        """Guards against a limit that each entry grants anew."""
-        await self.put(policy_of("shop", rate_per_s=2.0, burst=16))
-        await self.until(KEYS["shop"], (200, ""))
+    async def test_a_limit_is_shared_by_all_daemons(self):
+        """Guards against daemons that each grant the whole limit."""
+        await self.apply_patch(policy_of("shop", rate_per_s=2.0, burst=16))
+        await self.wait_for_result(KEYS["shop"], (200, ""))
         entries = len(self.fleet.daemons)
         calls = [self.call(KEYS["shop"], entry=turn % entries) for turn in range(60)]
         kinds = [kind for _, kind in await asyncio.gather(*calls)]
@@ -109,6 +109,6 @@
         self.assertLessEqual(kinds.count(""), 59)
 
     def output_files(self):
-        """Return the files that the fleet's processes have written to."""
+        """Return the files that the fleet's processes have written."""
         folder = Path(self.fleet.directory)
         return [path for path in folder.rglob("*") if path.is_file()]
