--- a/tests/functional/test_faults_daemons.py
+++ b/tests/functional/test_faults_daemons.py
@@ -1,4 +1,4 @@
-"""Faults of whole processes, with real daemons, sockets and targets."""
+"""Faults of whole daemons, of their links and of the store."""
 
 import asyncio
 import unittest
@@ -12,10 +12,11 @@
 from papayabay_bench.targets.specification import CallPath, ServiceTime
 
 SERVICE = "orders-svc"
-BOUND = 20.0
+TIMEOUT_S = 20.0
 WORK_MS = 150.0
 CALLERS = 12
-LIFE_OVER_SECONDS = 2.0
+PAUSE_S = 2.0
+"""Longer than the lifetime of a call."""
 SLOW_STORE_MS = 500
 IN_FLIGHT_KINDS = {"link-lost", "target-lost", "outcome-unknown"}
 NOT_RUN = "not-run"
@@ -52,11 +53,11 @@
         await self.fleet.wait_members()
         await self.fleet.wait_version(await self.fleet.apply(POLICY))
         await self.fleet.wait_services()
-        self.numbers = iter(range(1_000_000))
+        self.request_numbers = iter(range(1_000_000))
 
     async def call(self, entry, method="GET", path="/browse", key=""):
-        """Return name, status, error kind and effect of one call."""
-        name = f"r{next(self.numbers)}"
+        """Send a request; return its name, status, error kind and effect."""
+        name = f"r{next(self.request_numbers)}"
         headers = {
             "Papayabay-Service": SERVICE,
             "Bench-Nonce": name,
@@ -73,91 +74,92 @@
         return name, answer.status, kind, answer.headers.get("Papayabay-Effect")
 
     async def load(self, entry, method="GET", count=CALLERS):
-        """Call again and again from some callers until cancelled."""
-        found = []
+        """Send requests from several callers until stopped."""
+        results = []
 
         async def caller(number):
             while not self.stopped.is_set():
-                key = f"k{number}-{len(found)}" if method == "POST" else ""
+                key = f"k{number}-{len(results)}" if method == "POST" else ""
                 path = "/orders" if method == "POST" else "/browse"
-                found.append(await self.call(entry, method, path, key))
+                results.append(await self.call(entry, method, path, key))
 
         await asyncio.gather(*map(caller, range(count)))
-        return found
+        return results
 
     def start_load(self, entry, method="GET"):
         self.stopped = asyncio.Event()
         return asyncio.create_task(self.load(entry, method))
 
     async def wait_busy(self, target):
-        """Wait until a target works on something."""
+        """Wait until a target runs a request."""
 
         async def busy():
             states = {one["name"]: one for one in await self.fleet.targets()}
             return states[target]["busy"] > 0
 
-        await wait_until(busy, BOUND, f"{target} busy")
+        await wait_until(busy, TIMEOUT_S, f"{target} busy")
 
-    async def mint(self, entry):
+    async def create_key(self, entry):
+        """Return an idempotency key that a daemon has issued."""
         url = self.fleet.caller_url(entry) + "/.papayabay/keys"
         async with self.fleet.session.post(url) as answer:
             return (await answer.json())["key"]
 
     async def records(self):
-        """Return the targets' records once all work is written out."""
+        """Stop the targets once they are idle, and return their records."""
 
         async def idle():
             return all(one["inside"] == 0 for one in await self.fleet.targets())
 
-        await wait_until(idle, BOUND, "targets idle")
-        await asyncio.gather(*(host.stop(BOUND) for host in self.fleet.hosts.values()))
+        await wait_until(idle, TIMEOUT_S, "targets idle")
+        await asyncio.gather(
+            *(host.stop(TIMEOUT_S) for host in self.fleet.hosts.values())
+        )
         return read_records(self.fleet.record_paths())
 
-    async def test_sigterm_under_load_cuts_no_request(self):
-        """A graceful shutdown must not end calls that are under way.
+    async def test_sigterm_under_load_aborts_no_call(self):
+        """Guards against calls that fail when a VM is replaced.
 
-        Symptom: calls fail when a VM is replaced. Sequence: callers keep
-        the target busy; its daemon gets SIGTERM; further calls come. Cause:
-        links or target connections closed before the work was answered.
+        The target's daemon gets SIGTERM under load, and must not close links
+        or target connections before the calls in flight are answered.
         """
         load = self.start_load("entry-0", "POST")
         await self.wait_busy(f"{SERVICE}-0")
-        code = await self.fleet.drain(f"{SERVICE}-0", BOUND)
+        code = await self.fleet.drain(f"{SERVICE}-0", TIMEOUT_S)
         self.stopped.set()
-        found = await load
+        results = await load
         self.assertEqual(code, 0)
-        self.assertEqual({status for _, status, _, _ in found}, {200})
+        self.assertEqual({status for _, status, _, _ in results}, {200})
 
-    async def test_sigkill_loses_only_calls_in_flight_on_it(self):
-        """A daemon that dies hard takes only its own calls along.
+    async def test_sigkill_loses_only_calls_in_flight_on_the_daemon(self):
+        """Guards against a killed daemon that fails calls on other daemons.
 
-        Symptom: calls at healthy upstreams fail, or a lost one is called
-        `not-run`. Sequence: both upstreams work on confirmations; the daemon
-        of one is killed. Cause: one link's end taken for another's, or a
-        call that was handed over taken for unsent.
+        Both upstreams run confirmations, and the daemon of one is killed. If
+        the lost link is mistaken for another, calls on the healthy upstream
+        fail; if a forwarded call is taken for unsent, it is reported as
+        `not-run`.
         """
         load = self.start_load("entry-0", "POST")
         await self.wait_busy(f"{SERVICE}-0")
         self.fleet.kill(f"{SERVICE}-0")
-        await self.fleet.daemons[f"{SERVICE}-0"].wait(BOUND)
+        await self.fleet.daemons[f"{SERVICE}-0"].wait(TIMEOUT_S)
         self.stopped.set()
-        found = await load
-        failed = [one for one in found if one[1] != 200]
+        results = await load
+        failed = [one for one in results if one[1] != 200]
         self.assertLessEqual({kind for _, _, kind, _ in failed}, IN_FLIGHT_KINDS)
         self.assertEqual({effect for *_, effect in failed} - {"unknown"}, set())
         records = await self.records()
-        at_dead = {
+        on_killed = {
             one.request for one in records.executions if one.target == f"{SERVICE}-0"
         }
-        self.assertLessEqual({name for name, *_ in failed}, at_dead)
+        self.assertLessEqual({name for name, *_ in failed}, on_killed)
 
-    async def test_leaving_target_gets_no_new_work_without_gossip(self):
-        """A target's leaving must not depend on gossip getting through.
+    async def test_leaving_target_gets_no_new_calls_without_gossip(self):
+        """Guards against calls to a target that has withdrawn.
 
-        Symptom: a withdrawn target still gets calls. Sequence: an entry is
-        paused while the target withdraws, so it hears no gossip of that; it
-        resumes and calls at once by its old view. Cause: only gossip stops
-        callers, and the callee's daemon lets strangers' calls through.
+        A caller's daemon is paused while the target withdraws, so it gets no
+        gossip of that and still calls the target after it has resumed. The
+        target's own daemon must refuse these calls.
         """
         leaving = f"{SERVICE}-0"
         self.fleet.pause("entry-0")
@@ -168,13 +170,13 @@
         targets = {one.target for one in records.executions if one.request}
         self.assertEqual(targets, {f"{SERVICE}-1"})
 
-    async def test_holder_paused_past_its_life_runs_nothing(self):
-        """A claim's holder resumes and believes that it still holds it.
+    async def test_owner_paused_past_the_deadline_runs_no_call(self):
+        """Guards against orders that run long after their deadline.
 
-        Symptom: an order is run long after its caller was told the end.
-        Sequence: the store is slow; the entry asks for claims and is paused;
-        the store grants them; the calls' lives end; the entry resumes and
-        reads that it holds the claims. Cause: time in a pause not counted.
+        The store is slow, and a daemon is paused after it has requested
+        claims. The store grants them, the calls' lifetimes end, and the daemon
+        resumes and reads that it owns the claims. The time in the pause must
+        count against the lifetime.
         """
         await self.fleet.platform_faults(slow_ms=SLOW_STORE_MS)
         status = await self.fleet.status("entry-0")
@@ -188,9 +190,9 @@
             counters = (await self.fleet.status("entry-0"))["counters"]
             return counters["calls.entered"] >= before + CALLERS
 
-        await wait_until(entered, BOUND, "all calls entered")
+        await wait_until(entered, TIMEOUT_S, "all calls entered")
         self.fleet.pause("entry-0")
-        ended, pending = await asyncio.wait(calls, timeout=LIFE_OVER_SECONDS)
+        done, pending = await asyncio.wait(calls, timeout=PAUSE_S)
         self.assertEqual(len(pending), CALLERS)
         self.fleet.resume("entry-0")
         answers = await asyncio.gather(*calls)
@@ -199,18 +201,17 @@
         names = {name for name, *_ in answers}
         self.assertEqual([e for e in records.effects if e.request in names], [])
 
-    async def test_store_outage_stops_claims_only(self):
-        """Orders go on in a store outage where no claim is needed.
+    async def test_store_outage_fails_only_calls_that_need_claims(self):
+        """Guards against an outage that fails all calls or runs unclaimed ones.
 
-        Symptom: all confirmations fail while the store is down, or a claim
-        that nobody holds is run. Sequence: keys are minted, the store goes
-        down, calls come with minted and with own keys. Cause: home-bound
-        keys that use the store, or claims that fail open.
+        Calls with keys issued by a daemon need no store and must succeed while
+        it is down; calls with the client's own keys need a claim in the store
+        and must not run without it.
         """
         for down in ("close", "silent"):
             with self.subTest(down=down):
                 await self.fleet.platform_faults(down=down)
-                key = await self.mint(f"{SERVICE}-0")
+                key = await self.create_key(f"{SERVICE}-0")
                 for entry in self.fleet.daemons:
                     answer = await self.call(entry, "POST", "/orders", key)
                     self.assertEqual(answer[1], 200, answer)
@@ -227,12 +228,12 @@
 
 class SilentLinkTest(unittest.IsolatedAsyncioTestCase):
     async def test_silent_links_are_replaced(self):
-        """Open links go silent for good while new ones work.
+        """Guards against open links that carry no data any more.
 
-        Symptom: a daemon can't reach a healthy one again, and calls hang
-        until their lives end. Sequence: something between the two ends
-        loses track of the connections; neither end is told. Cause: an open
-        connection taken for a working one.
+        A middlebox loses the state of the connections without notice to either
+        end, while new connections work. If a daemon takes an open connection
+        for a working one, it never reaches the peer again, and calls hang
+        until their lifetimes end.
         """
         import signal
 
@@ -252,7 +253,7 @@
                     self.assertNotEqual(kind_of(answer, body), "")
                 return answer.status == 200 and is_own_answer(body, "n")
 
-            await wait_until(answered, BOUND, "a call over a new link")
+            await wait_until(answered, TIMEOUT_S, "a call over a new link")
 
 
 if __name__ == "__main__":
--- a/tests/functional/test_fleet.py
+++ b/tests/functional/test_fleet.py
@@ -1,3 +1,5 @@
+"""A chain of three services on a fleet of daemon processes."""
+
 import asyncio
 import unittest
 
@@ -7,12 +9,10 @@
 from papayabay_bench.targets.records import read_records
 
 CALLS = 200
-BOUND = 20.0
+TIMEOUT_S = 20.0
 
 
 class FleetTests(unittest.IsolatedAsyncioTestCase):
-    """Real daemons, sockets and targets; the three-deep chain."""
-
     async def asyncSetUp(self):
         self.fleet = await self.enterAsyncContext(Fleet(chain.fleet_plan(seed=5)))
         await self.fleet.wait_members()
@@ -32,7 +32,7 @@
         async with session.request(method, url, headers=headers) as answer:
             return answer.status, await answer.read()
 
-    async def test_interleaved_calls_get_their_own_whole_answers(self):
+    async def test_concurrent_calls_get_their_own_complete_answers(self):
         entries = list(self.fleet.daemons)
         limit = asyncio.Semaphore(8)
 
@@ -46,7 +46,7 @@
             self.assertEqual(status, 200, body)
             self.assertTrue(is_own_answer(body, f"n{number}"))
 
-    async def test_repeats_of_a_key_take_effect_once(self):
+    async def test_calls_with_the_same_key_take_effect_once(self):
         answers = [
             await self.call(entry, "POST", "/confirm/1", "n", key="k-1")
             for entry in self.fleet.daemons
@@ -56,15 +56,15 @@
         effects = read_records(self.fleet.record_paths()).effects
         self.assertEqual([effect.key for effect in effects], ["k-1"])
 
-    async def test_a_drained_daemon_cuts_no_request(self):
+    async def test_draining_a_daemon_aborts_no_call(self):
         calls = [
             asyncio.create_task(
                 self.call("orders-svc-1", "GET", f"/quarry/{n}", str(n))
             )
             for n in range(10)
         ]
-        await self.fleet.wait_routes("orders-svc-1", BOUND)
-        code = await self.fleet.drain("orders-svc-0", BOUND)
+        await self.fleet.wait_routes("orders-svc-1", TIMEOUT_S)
+        code = await self.fleet.drain("orders-svc-0", TIMEOUT_S)
         statuses = {status for status, _ in await asyncio.gather(*calls)}
         self.assertEqual(code, 0)
         self.assertEqual(statuses, {200})
