--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that ends every target which runs it, on a fleet of processes."""
+"""Quarantine of a request that crashes targets, on a fleet of processes."""
 
 import asyncio
 import unittest
@@ -13,15 +13,16 @@
 from tests.functional.cli_support import CliCase
 
 SERVICE = "orders-svc"
-DEADLY = "/deadly/7"
+CRASHING_PATH = "/deadly/7"
 TARGETS = 4
 REVIVE_MS = 1_000
+"""A crashed target is started again after this time."""
 TRIES = 12
 PAUSE_S = 1.0
 CALLERS = 8
-BOUND_S = 20.0
-CONTACT_S = 3.0
-"""How long what one daemon has seen may take to be known to all."""
+TIMEOUT_S = 20.0
+PROPAGATION_S = 3.0
+"""Longest time until all daemons know of a crash that one has seen."""
 POLICY = {
     "services": {
         SERVICE: {
@@ -33,7 +34,10 @@
 
 
 def fleet_plan():
-    """Return one service, whose targets crash, and an entry beside none."""
+    """Return a plan of one service, with a path that crashes its targets.
+
+    One daemon more, the entry, has no target.
+    """
     paths = [
         CallPath(prefix="/browse", work=ServiceTime(distribution="fixed", mean_ms=50)),
         CallPath(prefix="/deadly", crash=True),
@@ -45,7 +49,7 @@
 
 
 class QuarantineCase(CliCase):
-    """Starts the fleet, with an entry beside no target."""
+    """Starts the fleet, and calls its service through any daemon."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -54,11 +58,11 @@
         await self.fleet.wait_version(await self.fleet.apply(POLICY))
         await self.fleet.wait_services()
         self.entries = list(self.fleet.daemons)
-        self.names = iter(range(1_000_000))
+        self.request_numbers = iter(range(1_000_000))
 
     async def call(self, entry, path):
-        """Return status and error kind of one call."""
-        name = f"r{next(self.names)}"
+        """Send a request; return its status and error kind."""
+        name = f"r{next(self.request_numbers)}"
         headers = {
             "Papayabay-Service": SERVICE,
             "Bench-Nonce": name,
@@ -70,82 +74,77 @@
         return answer.status, kind_of(answer, content) if answer.status >= 400 else ""
 
     async def send_until(self, kind):
-        """Send the request by one entry until it ends as it should."""
-        async with asyncio.timeout(BOUND_S):
-            while (await self.call(self.entries[-1], DEADLY))[1] != kind:
+        """Send the crashing request until it fails with an error kind."""
+        async with asyncio.timeout(TIMEOUT_S):
+            while (await self.call(self.entries[-1], CRASHING_PATH))[1] != kind:
                 await asyncio.sleep(0.1)
 
 
 class CrashingRequestTests(QuarantineCase):
-    """One request ended all targets of its service every few seconds.
-
-    Symptom: callers of one service, and of those that call it, were refused
-    for seconds at a time; 18 targets ended under one request, 10 of them
-    seconds after it had ended the third.
-
-    Sequence: the request ends the target that runs it, is sent to the next
-    one, and ends that too. It comes again, by another entry and under another
-    identifier, as soon as the targets are back.
-
-    Cause: nothing remembered a request beyond one attempt of its caller. A
-    target's end was taken for bad luck of that target, which is a reason to
-    try the next one.
-
-    Proof: with `decisions.quarantine` off it ends all targets each time.
+    """Guards against one request that crashes all targets of its service.
+
+    The request crashed the target that ran it and was retried on the next,
+    which it crashed too. Sent again through other daemons and under other
+    identifiers as soon as the targets were back, it crashed 18 targets, 10 of
+    them seconds after the third crash, and other callers of the service were
+    refused for seconds at a time. A crash was taken for a fault of the target
+    alone, so nothing remembered the request. With `decisions.quarantine` off,
+    it crashes all targets each time.
     """
 
     async def browse(self, number):
-        """Call as others do, each time with another path, until stopped."""
+        """Send harmless requests, each with another path, until stopped."""
         turn = 0
         while not self.stopped.is_set():
             turn += 1
             entry = self.entries[(number + turn) % len(self.entries)]
             status, kind = await self.call(entry, f"/browse/{number}/{turn}")
-            self.found.append((status, kind))
+            self.results.append((status, kind))
             if status != 200:
                 await asyncio.sleep(0.1)
 
-    async def send_deadly(self):
-        """Send the request again and again, by one entry after the other."""
+    async def send_crashing(self):
+        """Send the crashing request repeatedly, by each daemon in turn."""
         for turn in range(TRIES):
-            await self.call(self.entries[turn % len(self.entries)], DEADLY)
+            await self.call(self.entries[turn % len(self.entries)], CRASHING_PATH)
             await asyncio.sleep(PAUSE_S)
         self.stopped.set()
 
-    async def crashes(self):
-        """Return when targets ended under the request."""
+    async def crash_times(self):
+        """Stop the hosts and return the times of the targets' crashes."""
         await asyncio.gather(*(host.stop(5.0) for host in self.fleet.hosts.values()))
         executions = read_records(self.fleet.record_paths()).executions
         return sorted(one.time for one in executions if one.end == End.CRASHED.value)
 
-    async def test_it_ends_no_target_once_all_can_know(self):
+    async def test_no_crashes_once_all_daemons_can_know_the_request(self):
         self.stopped = asyncio.Event()
-        self.found = []
-        await asyncio.gather(self.send_deadly(), *map(self.browse, range(CALLERS)))
-        ends = await self.crashes()
-        self.assertGreaterEqual(len(ends), 2)
-        late = [at for at in ends if at > ends[min(2, len(ends) - 1)] + CONTACT_S]
+        self.results = []
+        await asyncio.gather(self.send_crashing(), *map(self.browse, range(CALLERS)))
+        times = await self.crash_times()
+        self.assertGreaterEqual(len(times), 2)
+        late = [t for t in times if t > times[min(2, len(times) - 1)] + PROPAGATION_S]
         self.assertEqual(late, [])
-        self.assertNotIn("quarantined", {kind for _, kind in self.found})
+        self.assertNotIn("quarantined", {kind for _, kind in self.results})
 
 
 class RestartTests(QuarantineCase):
-    """A request that was held back ended targets again after a power loss.
+    """Guards against a quarantine that is lost when all daemons restart.
 
-    Sequence: it is held back; all daemons are killed at once and start again;
-    it comes by each of them, as soon as each can know of it.
+    After a power loss, a request that had been quarantined crashed targets
+    again. The test kills all daemons at once, restarts them, and sends the
+    request through each.
     """
 
     async def wait_stored(self):
-        """Wait until the store has a row of it."""
+        """Wait until a daemon has written the request to the store."""
 
         async def stored():
-            found = [await self.fleet.status(name) for name in self.entries]
-            return sum(page["counters"]["quarantine.rows_written"] for page in found)
+            reports = [await self.fleet.status(name) for name in self.entries]
+            return sum(page["counters"]["quarantine.rows_written"] for page in reports)
 
-        await wait_until(stored, BOUND_S, "a row of the request")
+        await wait_until(stored, TIMEOUT_S, "a row of the request")
 
-    async def test_it_stays_held_back_when_all_daemons_are_killed(self):
+    async def test_quarantine_survives_a_kill_of_all_daemons(self):
         await self.send_until("quarantined")
         await self.wait_stored()
         for name in self.entries:
@@ -153,13 +152,15 @@
         await asyncio.gather(*map(self.fleet.restart, self.entries))
         await self.fleet.wait_members()
         await self.fleet.wait_services()
-        await asyncio.sleep(CONTACT_S)
+        await asyncio.sleep(PROPAGATION_S)
         for entry in self.entries:
-            self.assertEqual(await self.call(entry, DEADLY), (503, "quarantined"))
+            self.assertEqual(
+                await self.call(entry, CRASHING_PATH), (503, "quarantined")
+            )
 
 
 class OperatorTests(QuarantineCase):
-    async def test_operators_see_and_lift_what_is_held_back(self):
+    async def test_operators_list_and_lift_quarantined_requests(self):
         url = self.fleet.door(self.entries[0], "status_port")
         self.settings = self.write(
             "papayabay.toml",
@@ -171,11 +172,11 @@
         await self.send_until("quarantined")
         listed = await self.run_cli("quarantine", "list", "--json")
         self.assertEqual(listed.code, 0, listed.err)
-        (held,) = listed.values["held"]
-        self.assertGreaterEqual(held["targets_ended"], 2)
+        (entry,) = listed.values["held"]
+        self.assertGreaterEqual(entry["targets_ended"], 2)
         shown = await self.run_cli("quarantine", "list")
-        self.assertIn(held["fingerprint"], shown.out)
-        lifted = await self.run_cli("quarantine", "lift", held["fingerprint"])
+        self.assertIn(entry["fingerprint"], shown.out)
+        lifted = await self.run_cli("quarantine", "lift", entry["fingerprint"])
         self.assertEqual(lifted.code, 0, lifted.err)
         await self.send_until("target-lost")
         for wrong in ("00" * 16, "no-digits"):
