--- a/packages/papayabay-cli/src/papayabay_cli/daemons.py
+++ b/packages/papayabay-cli/src/papayabay_cli/daemons.py
@@ -10,7 +10,7 @@
 from papayabay_core.configuration import PROOF_HEADER, encode_patches, prove_patches
 
 QUERY_TIMEOUT = aiohttp.ClientTimeout(total=60.0, connect=2.0)
-"""In seconds; the daemon that answers asks all others first."""
+"""In seconds; long, as the daemon queries all others before it answers."""
 POST_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 """In seconds."""
 PATCHES = "/configuration/patches"
--- a/packages/papayabay-cli/src/papayabay_cli/files.py
+++ b/packages/papayabay-cli/src/papayabay_cli/files.py
@@ -9,7 +9,7 @@
 
 
 class FileKind(Enum):
-    """What a TOML file holds."""
+    """The kinds of TOML files that operators write."""
 
     POLICY = "policy"
     DAEMON = "daemon settings"
--- a/packages/papayabay-cli/src/papayabay_cli/fleet_status.py
+++ b/packages/papayabay-cli/src/papayabay_cli/fleet_status.py
@@ -43,7 +43,7 @@
 RANKS_PER_CLASS = 1 << 16
 """An admission level is the class's index times this, plus a rank in it."""
 STOP_PREFIX = "retries."
-"""Of the counters that give the reason why a call was not retried."""
+"""Prefix of the counters of calls that were not retried, by reason."""
 NO_RETRY_NEEDED = "answered"
 """Counted like a reason, for calls whose answer called for no retry."""
 
