--- a/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/running.py
+++ b/packages/papayabay-daemon/src/papayabay_daemon/_internal/idempotency/runner.py
@@ -1,24 +1,25 @@
-"""One attempt of a keyed call, in a task that outlives its caller."""
+"""Runs attempts of calls with keys in tasks that outlive their callers."""
 
 import asyncio
 
 from papayabay_core.calls import Answer
 from papayabay_core.errors import CallError, Effect, ErrorKind
 from papayabay_daemon._internal.idempotency import answers
-from papayabay_daemon._internal.idempotency.attempts import KeyState
+from papayabay_daemon._internal.idempotency.key_table import KeyState
 
-DISPATCH_GRACE = 0.5
-"""Seconds after a call's life for its dispatch to say how it ended."""
+DISPATCH_GRACE_SECONDS = 0.5
+"""Time after a call has expired in which its dispatch may still report how
+it ended."""
 
 
-class Runner:
-    """Starts attempts and notes in their entries what became of them.
+class AttemptRunner:
+    """Starts attempts and records their outcomes in their entries.
 
-    An attempt runs in a task of its own, so that a caller who leaves doesn't
-    end it: a non-idempotent call that is cancelled after it was handed over
-    leaves an outcome that nobody knows, where a caller who comes back with
-    the key would have had an answer. Its life bounds the task. A call whose
-    callers have all left before it is dispatched isn't dispatched.
+    An attempt runs in its own task, so that it is not cancelled when its
+    caller disconnects. Cancelling a non-idempotent call after the target got
+    it would make its outcome unknown, whereas now a caller that retries with
+    the key gets the answer. The call's lifetime bounds the task. A call whose
+    callers have all left before its dispatch is not dispatched.
 
     Parameters
     ----------
@@ -33,56 +34,62 @@
         entry.state = KeyState.RUNNING
         task = entry.task = self.state.spawn(attempt)
         entry.waiters += 1
-        entry.streams = True
+        entry.first_caller_waits = True
         try:
             await asyncio.wait({task})
         except asyncio.CancelledError:
-            # The key may be at its next attempt already, whose caller stays.
+            # The key may already have a later attempt, whose caller waits.
             if entry.task is task:
-                entry.streams = False
-            await close_unread(task)
+                entry.first_caller_waits = False
+            await close_unread_answer(task)
             raise
         finally:
             entry.waiters -= 1
         return result_of(task)
 
     async def dispatch(self, entry, call, dispatch):
-        """Dispatch a call and note in the entry what became of it."""
+        """Dispatch a call and record its outcome in the entry.
+
+        Returns
+        -------
+        Answer or CallError
+        """
         remaining = call.expires_at - self.state.clock()
         if remaining <= 0 or not entry.waiters:
-            # A process paused after its claim resumes here with a call that
-            # its caller has given up; the clock counted the pause. A pause
-            # after this line is found by the remaining time on the link.
+            # If the process was paused after it had claimed the key, the call
+            # has expired by now, as the clock counts the pause. A pause after
+            # this check is covered by the remaining lifetime that is sent
+            # with the call over the link.
             entry.state = KeyState.HELD
             self.state.counters["unsent"] += 1
             return CallError(ErrorKind.EXPIRED_UNSENT)
         try:
-            async with asyncio.timeout(remaining + DISPATCH_GRACE):
+            async with asyncio.timeout(remaining + DISPATCH_GRACE_SECONDS):
                 answer = await dispatch(call)
                 answer.body = await answers.read_up_to(
-                    answer.body, answers.KEPT_BODY_BYTES
+                    answer.body, answers.MAX_KEPT_BODY_BYTES
                 )
         except CallError as error:
-            return self.note_error(entry, error)
+            return self.record_error(entry, error)
         except TimeoutError:
-            return self.note_error(entry, CallError(ErrorKind.EXPIRED))
+            return self.record_error(entry, CallError(ErrorKind.EXPIRED))
         except asyncio.CancelledError:
             entry.state = KeyState.UNKNOWN
             raise
         except Exception as error:
             failure = CallError(ErrorKind.INTERNAL, type(error).__name__)
-            return self.note_error(entry, failure)
-        return await self.note_answer(entry, answer)
+            return self.record_error(entry, failure)
+        return await self.record_answer(entry, answer)
 
-    def note_error(self, entry, error):
-        """Note an attempt's error in its entry and return the error."""
+    def record_error(self, entry, error):
+        """Record an attempt's error in its entry and return the error."""
         not_run = error.answer.effect is Effect.NOT_RUN
         entry.state = KeyState.HELD if not_run else KeyState.UNKNOWN
         self.state.counters[error.answer.effect.value] += 1
         return error
 
-    async def note_answer(self, entry, answer):
-        """Note an attempt's answer in its entry and return the answer."""
+    async def record_answer(self, entry, answer):
+        """Record an attempt's answer in its entry and return the answer."""
         self.state.counters[answer.effect.value] += 1
         if answer.effect is Effect.NOT_RUN:
             entry.state = KeyState.HELD
@@ -91,19 +98,19 @@
         else:
             entry.state = KeyState.DONE
             if answer.body.whole:
-                self.state.key_table.keep_answer(entry, answers.to_bytes(answer))
-        if not entry.streams:
+                self.state.key_table.keep_answer(entry, answers.encode_answer(answer))
+        if not entry.first_caller_waits:
             await answers.close_rest(answer.body)
         return answer
 
 
 def is_running(task):
-    """Return whether an attempt goes on; None is an ended one."""
+    """Return whether an attempt is running; None stands for a finished one."""
     return task is not None and not task.done()
 
 
 def result_of(task):
-    """Return an ended attempt's result; raise a fresh copy of its error."""
+    """Return a finished attempt's result, or raise a copy of its error."""
     if task.cancelled():
         raise CallError(ErrorKind.OUTCOME_UNKNOWN, "the daemon is stopping")
     if task.exception() is not None:
@@ -114,8 +121,8 @@
     return result
 
 
-async def close_unread(task):
-    """Close the streamed answer of an attempt whose first caller left."""
-    ended = task.done() and not task.cancelled() and task.exception() is None
-    if ended and isinstance(task.result(), Answer):
+async def close_unread_answer(task):
+    """Close the streamed answer of a finished attempt without a reader."""
+    finished = task.done() and not task.cancelled() and task.exception() is None
+    if finished and isinstance(task.result(), Answer):
         await answers.close_rest(task.result().body)
