--- a/tests/functional/test_faults_daemons.py
+++ b/tests/functional/test_faults_daemons.py
@@ -202,7 +202,7 @@
         self.assertEqual([e for e in records.effects if e.request in names], [])
 
     async def test_store_outage_fails_only_calls_that_need_claims(self):
-        """Guards against an outage failing all calls, or running unclaimed ones.
+        """Guards against a store outage that fails calls which need no claim.
 
         Calls with keys issued by a daemon need no store and must succeed while
         it is down; calls with the client's own keys need a claim in the store
