--- a/packages/papayabay-cli/src/papayabay_cli/account_sums.py
+++ b/packages/papayabay-cli/src/papayabay_cli/account_sums.py
@@ -11,7 +11,7 @@
     Attributes
     ----------
     accounts : dict of str to Counter
-        By account, then by the outcome of its rate limit.
+        By account, then by the outcome of the rate limit check.
     keys : Counter
         By the outcome of authentication.
     """
--- a/packages/papayabay-cli/src/papayabay_cli/burn/report.py
+++ b/packages/papayabay-cli/src/papayabay_cli/burn/report.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AlertRule:
-    """A burn rate from which on an alert fires.
+    """A burn rate above which an alert fires.
 
     Attributes
     ----------
@@ -36,7 +36,7 @@
     rate: float
 
     def fires(self, rates):
-        """Return whether the burn rates of both windows are too high."""
+        """Return whether both windows burn faster than the threshold."""
         return rates[self.long] > self.rate and rates[self.short] > self.rate
 
     def __str__(self):
@@ -112,7 +112,7 @@
     classes : list of Burn
         One per service and importance class.
     paths : list of Burn
-        One per call path, the fastest burn first.
+        One per call path; those with alerts first, then the fastest burn.
     unmatched : list of str
         Path keys that daemons counted but that have no objective.
     """
