--- a/packages/papayabay-cli/src/papayabay_cli/commands/report_burn.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/report_burn.py
@@ -1,6 +1,6 @@
-"""`report burn`: say how fast error budgets are spent, and by what."""
+"""`report burn`: reports how fast calls use up error budgets."""
 
-from papayabay_cli.output import note, print_json
+from papayabay_cli.output import print_json, print_note
 
 
 class ReportBurnCommand:
@@ -10,26 +10,27 @@
         """Report how fast error budgets burn, and which calls burn them.
 
         Asks the first status URL of the settings that answers; that daemon
-        asks all others. Exit codes: 0 reported, also when some daemons
-        could not be heard, which are named; 2 wrong usage, settings or
-        report file; 5 no daemon answered.
+        asks all others. Exit codes: 0 reported, also when some daemons did
+        not answer, which are listed; 2 wrong usage, settings or report file;
+        5 no daemon answered.
 
         Parameters
         ----------
         html : str
-            Also write one self-contained HTML page with pictures here.
+            Also write the report to this file, as a self-contained HTML page
+            with charts.
         from_file : str
-            Report on what was recorded in this file, as `--json` prints it,
-            and ask nobody.
+            Report on the data in this file, which holds the output of
+            `--json`, instead of asking a daemon.
         settings : str
             Settings file; default papayabay.toml, or $PAPAYABAY_SETTINGS.
         json : bool
-            Print the report, with what it was made of, as JSON instead.
+            Print the report and its data as JSON instead.
         """
         from papayabay_cli.burn.report import make_report
         from papayabay_cli.burn.text import print_report
 
-        report = make_report(read_or_ask(from_file, settings))
+        report = make_report(get_recording(from_file, settings))
         if html is not None:
             write_page(html, report)
         if json:
@@ -38,22 +39,24 @@
             print_report(report)
 
 
-def read_or_ask(from_file, settings):
-    """Return the recording of a file, or a new one of the fleet."""
+def get_recording(from_file, settings):
+    """Return the recording in a file, or a new one of the fleet."""
     if from_file is not None:
         from papayabay_cli.burn.recording import load_recording
 
         return load_recording(from_file)
-    from papayabay_cli.arguments import operator_settings
+    from papayabay_cli.arguments import load_operator_settings
     from papayabay_cli.burn.recording import record_fleet
-    from papayabay_cli.daemons import ask_fleet
+    from papayabay_cli.daemons import query_fleet
 
-    fleet, policy = ask_fleet(operator_settings(settings), "/fleet/burn", "/policy")
+    fleet, policy = query_fleet(
+        load_operator_settings(settings), "/fleet/burn", "/policy"
+    )
     return record_fleet(fleet, policy)
 
 
 def write_page(path, report):
-    """Write the HTML page.
+    """Write the report as an HTML page.
 
     Raises
     ------
@@ -68,4 +71,4 @@
         Path(path).write_text(make_page(report), encoding="utf-8")
     except OSError as error:
         raise UsageError(f"{path}: {error.strerror}") from None
-    note(f"written: {path}")
+    print_note(f"written: {path}")
