--- a/packages/papayabay-bench/src/papayabay_bench/history/system.py
+++ b/packages/papayabay-bench/src/papayabay_bench/history/system.py
@@ -1,10 +1,12 @@
-"""The small system that histories are recorded on."""
+"""Defines the fleet and the policy that histories are recorded with."""
 
 from papayabay_bench.fleet.plan import FleetPlan, ServicePlan
 from papayabay_bench.targets.specification import CallPath, OutgoingCall, ServiceTime
 
 FRONT = "orders-svc"
+"""Service that clients call."""
 BACK = "stock-svc"
+"""Service that the front service calls."""
 CONFIRM_PATH = "/orders"
 RESERVE_PATH = "/reserve"
 BROWSE_PATH = "/browse"
@@ -12,7 +14,7 @@
 DOCUMENT_BYTES = 150_000
 DEADLINE_MS = 1_000
 RETRY_CREDITS = 3
-HOLD_MS = 400
+OVERLOAD_HOLD_MS = 400
 SLOTS = 4
 UPSTREAMS = 3
 WORK = ServiceTime(distribution="exponential", mean_ms=4)
@@ -24,11 +26,12 @@
     "suspicion_ms": 1_000,
     "config_poll_ms": 200,
 }
-"""Short periods, so that a run of seconds sees detection and recovery."""
+"""Short periods, so that a run of a few seconds includes the detection of
+faults and the recovery from them."""
 
 
 def fleet_plan(seed):
-    """Return the plan: two services of three upstreams, and a bare entry."""
+    """Return a plan of two services and one daemon without a target."""
     return FleetPlan(
         services=[front_service(), back_service()],
         entries=1,
@@ -39,7 +42,7 @@
 
 
 def front_service():
-    """Return the service that callers call."""
+    """Return the plan of the service that clients call."""
     reserve = OutgoingCall(service=BACK, path=RESERVE_PATH, method="POST")
     browse = OutgoingCall(service=BACK, path=BROWSE_PATH)
     paths = [
@@ -51,7 +54,7 @@
 
 
 def back_service():
-    """Return the service that the first one calls."""
+    """Return the plan of the service that the front service calls."""
     paths = [
         CallPath(prefix=RESERVE_PATH, effect=True, work=WORK),
         CallPath(prefix=BROWSE_PATH, work=WORK),
@@ -60,15 +63,20 @@
 
 
 def policy():
-    """Return the policy of both services as plain values."""
-    return {"services": {FRONT: declared(CONFIRM_PATH), BACK: declared(RESERVE_PATH)}}
+    """Return the policy of both services, as values of a policy document."""
+    return {
+        "services": {
+            FRONT: service_policy(CONFIRM_PATH),
+            BACK: service_policy(RESERVE_PATH),
+        }
+    }
 
 
-def declared(effect_path):
-    """Return one service's declaration."""
+def service_policy(effect_path):
+    """Return the policy of a service whose POST calls have an effect."""
     return {
         "deadline_ms": DEADLINE_MS,
-        "admission": {"overload_hold_ms": HOLD_MS},
+        "admission": {"overload_hold_ms": OVERLOAD_HOLD_MS},
         "retries": {"credits": RETRY_CREDITS, "ratio": 1.0},
         "calls": {
             "effect": {
--- a/packages/papayabay-bench/src/papayabay_bench/scenarios/measures.py
+++ b/packages/papayabay-bench/src/papayabay_bench/scenarios/measures.py
@@ -1,4 +1,4 @@
-"""The measures that a scenario can expect something of."""
+"""Computes the measures that the `expect` lines of a scenario use."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,27 +19,32 @@
 from papayabay_bench.measures.recovery import time_back
 from papayabay_bench.measures.waste import wasted_share
 from papayabay_bench.measures.windows import Window
-from papayabay_bench.scenarios.bound import possible_rate
+from papayabay_bench.scenarios.bound import achievable_rate
 from papayabay_bench.scenarios.retries import most_retries
 from papayabay_bench.scenarios.samples import inversions
 from papayabay_bench.targets.records import End
 
 WINDOWS = ("before", "overload", "after", "whole")
-WARM_UP = 1.0
-"""Seconds at a load's begin that count as neither normal nor overloaded:
-connections are opened and service times learned."""
+WARM_UP_SECONDS = 1.0
+"""Time from the start of the load that is in no window but "whole", while
+connections are opened and service times are learned."""
 
 
 @dataclass(slots=True)
-class Evidence:
-    """All that was seen of a run.
+class RunData:
+    """Everything that was recorded during a run.
 
     Attributes
     ----------
-    pieces : list of Piece
-        The bound, moment by moment.
+    requests : list of Request
+    executions : list of Execution
+    effects : list of EffectRecord
+    samples : list of Sample
+    segments : list of Segment
+        The bound of each part of the run.
     windows : dict of str to Window
-        By name; `before`, `overload` and `after` only with a trigger.
+        By name; `before`, `overload` and `after` exist only when the
+        scenario has a trigger.
     """
 
     scenario: object
@@ -47,7 +52,7 @@
     executions: list
     effects: list
     samples: list
-    pieces: list
+    segments: list
     windows: dict[str, Window]
 
     def of(self, importance, window):
@@ -55,76 +60,78 @@
         return of_class(due_within(self.requests, window), importance)
 
     def bound(self, window, importance=None):
-        """Return the requests per second that fit in a window."""
-        return possible_rate(self.pieces, window, importance, self.scenario)
+        """Return the achievable requests per second within a window."""
+        return achievable_rate(self.segments, window, importance, self.scenario)
 
 
 def of_class(requests, importance):
-    """Return the requests of a class; all without one."""
+    """Return the requests of a class, or all if the class is None."""
     if importance is None:
         return requests
     return [request for request in requests if request.importance == importance]
 
 
 def windows_of(scenario, starts_at):
-    """Return the stretches of a run by name."""
-    ends = starts_at + scenario.seconds
-    found = {"whole": Window(starts_at, ends)}
+    """Return the windows of a run by name."""
+    ends_at = starts_at + scenario.seconds
+    windows = {"whole": Window(starts_at, ends_at)}
     if scenario.trigger:
-        begins, stops = (starts_at + moment for moment in scenario.trigger)
-        warm = min(starts_at + WARM_UP, begins)
-        found["before"] = Window(warm, begins)
-        found["overload"] = Window(begins, stops)
-        found["after"] = Window(stops, ends)
-    return found
-
-
-def goodput_rate(evidence, importance, window):
-    """Return the whole requests per second that ended well in a window."""
+        overload_start, overload_end = (
+            starts_at + seconds for seconds in scenario.trigger
+        )
+        warm_at = min(starts_at + WARM_UP_SECONDS, overload_start)
+        windows["before"] = Window(warm_at, overload_start)
+        windows["overload"] = Window(overload_start, overload_end)
+        windows["after"] = Window(overload_end, ends_at)
+    return windows
+
+
+def goodput_rate(run_data, importance, window):
+    """Return the requests per second that succeeded within a window."""
     if not window.seconds:
         return None
-    return goodput(of_class(evidence.requests, importance), window)
+    return goodput(of_class(run_data.requests, importance), window)
 
 
-def good_share_of(evidence, importance, window):
-    """Return the share of the requests due that ended well."""
-    due = evidence.of(importance, window)
+def good_share_of(run_data, importance, window):
+    """Return the share of the requests due in a window that succeeded."""
+    due = run_data.of(importance, window)
     return good_share(due) if due else None
 
 
-def recovery(evidence, importance, window):
-    """Return the time back to normal goodput."""
-    requests = of_class(evidence.requests, importance)
-    before = evidence.windows["before"]
+def recovery(run_data, importance, window):
+    """Return the seconds from the overload's end to normal goodput."""
+    requests = of_class(run_data.requests, importance)
+    before = run_data.windows["before"]
     if not any(request.good for request in due_within(requests, before)):
         return None
-    return time_back(requests, before, evidence.windows["after"])
+    return time_back(requests, before, run_data.windows["after"])
 
 
-def wasted(evidence, importance, window):
-    """Return the share of slot time that bought no good answer."""
-    return wasted_share(evidence.of(importance, window), evidence.executions)
+def wasted(run_data, importance, window):
+    """Return the share of slot time that was spent for no good answer."""
+    return wasted_share(run_data.of(importance, window), run_data.executions)
 
 
-def retries(evidence, importance, window):
-    """Return the largest number of the system's retries of one request."""
-    return most_retries(evidence.of(importance, window), evidence.executions)
+def retries(run_data, importance, window):
+    """Return the largest number of retries within the system of a request."""
+    return most_retries(run_data.of(importance, window), run_data.executions)
 
 
-def doubled(evidence, importance, window):
-    """Return the number of effects taken more than once."""
-    return len(doubled_effects(evidence.effects))
+def doubled(run_data, importance, window):
+    """Return the number of effects that were performed more than once."""
+    return len(doubled_effects(run_data.effects))
 
 
-def lost(evidence, importance, window):
-    """Return the number of confirmed effects that were never taken."""
-    calls = effect_calls(evidence.scenario)
-    due = evidence.of(importance, window)
-    return len(lost_effects(due, evidence.effects, calls))
+def lost(run_data, importance, window):
+    """Return the number of confirmed effects that were never performed."""
+    calls = effect_calls(run_data.scenario)
+    due = run_data.of(importance, window)
+    return len(lost_effects(due, run_data.effects, calls))
 
 
 def effect_calls(scenario):
-    """Return the names of the calls that take an effect."""
+    """Return the names of the calls that perform an effect."""
     return {
         f"{service.name}.{call.name}"
         for service in scenario.services.values()
@@ -133,64 +140,70 @@
     }
 
 
-def denied(evidence, importance, window):
-    """Return the number of effects whose caller was told `not-run`."""
-    return len(denied_effects(evidence.of(importance, window), evidence.effects))
+def denied(run_data, importance, window):
+    """Return the number of effects with only `not-run` answers.
+
+    These effects were performed, contrary to the answers.
+    """
+    return len(denied_effects(run_data.of(importance, window), run_data.effects))
 
 
-def refused(evidence, importance, window):
+def refused(run_data, importance, window):
     """Return the number of attempts that were refused within a window.
 
-    The answer's moment decides, not the request's: a request that came
-    just before an overload is refused in the midst of it.
+    The time of the answer counts, not that of the request, since a request
+    that was due just before an overload may be refused during it.
     """
     return sum(
         attempt.outcome == Outcome.REFUSED.value and window.holds(attempt.ended)
-        for request in of_class(evidence.requests, importance)
+        for request in of_class(run_data.requests, importance)
         for attempt in request.attempts
     )
 
 
-def crossed(evidence, importance, window):
-    """Return the number of answers that were another's, or torn."""
-    due = evidence.of(importance, window)
+def crossed(run_data, importance, window):
+    """Return the number of misdelivered and truncated answers."""
+    due = run_data.of(importance, window)
     at_callers = sum(
         attempt.outcome == Outcome.WRONG.value
         for request in due
         for attempt in request.attempts
     )
     at_targets = sum(
-        execution.end == End.CROSSED.value for execution in evidence.executions
+        execution.end == End.CROSSED.value for execution in run_data.executions
     )
     return at_callers + at_targets
 
 
-def unsent(evidence, importance, window):
-    """Return the number of requests that the load tool could not send."""
+def unsent(run_data, importance, window):
+    """Return the number of requests that the load generators didn't send."""
     return sum(
         request.outcome == Outcome.UNSENT.value
-        for request in evidence.of(importance, window)
+        for request in run_data.of(importance, window)
     )
 
 
-def late(evidence, importance, window):
-    """Return the 99th percentile of the load tool's own lateness."""
-    due = evidence.of(importance, window)
+def late(run_data, importance, window):
+    """Return the 99th percentile of the load generators' lateness."""
+    due = run_data.of(importance, window)
     return percentile([request.lateness_ms for request in due], 99)
 
 
 def latency(percent):
-    """Return the measure of a percentile of good requests' latency."""
+    """Return a function that computes a latency percentile.
+
+    Only requests that succeeded are counted.
+    """
 
-    def compute(evidence, importance, window):
-        due = evidence.of(importance, window)
+    def compute(run_data, importance, window):
+        due = run_data.of(importance, window)
         return percentile([one.latency_ms for one in due if one.good], percent)
 
     return compute
 
 
 def percentile(milliseconds, percent):
-    """Return a percentile in seconds; None of nothing."""
+    """Return a percentile in seconds, or None if there are no values."""
     if not milliseconds:
         return None
     return percentile_ms(latency_histogram(milliseconds), percent) / 1_000
@@ -198,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measure:
-    """How a measure is computed, and in which stretch by default."""
+    """A function that computes a measure, and its default window."""
 
     compute: Callable
     window: str = "whole"
@@ -210,7 +223,7 @@
     "recovery": Measure(recovery, "after"),
     "wasted": Measure(wasted, "overload"),
     "inversions": Measure(
-        lambda evidence, importance, window: inversions(evidence.samples, window),
+        lambda run_data, importance, window: inversions(run_data.samples, window),
         "overload",
     ),
     "retries": Measure(retries),
@@ -224,4 +237,4 @@
     "p50": Measure(latency(50)),
     "p99": Measure(latency(99)),
 }
-"""Every measure by its word in an `expect` line."""
+"""All measures by their names in `expect` lines."""
--- a/packages/papayabay-cli/src/papayabay_cli/commands/check.py
+++ b/packages/papayabay-cli/src/papayabay_cli/commands/check.py
@@ -1,14 +1,14 @@
-"""`check`: say whether settings and policy files are valid."""
+"""`check`: validates settings and policy files."""
 
 from papayabay_cli import exits
 from papayabay_cli.errors import UsageError
-from papayabay_cli.files import FileKind, kind_of, parse_toml, read_text
-from papayabay_cli.output import note, print_json
+from papayabay_cli.files import FileKind, detect_kind, parse_toml, read_text
+from papayabay_cli.output import print_json, print_note
 from papayabay_core.exceptions import PapayabayError
 
 
 class CheckCommand:
-    """Checks files without asking anybody."""
+    """Validates files, without network access."""
 
     def run(self, *files, json=False):
         """Check settings and policy files, offline.
@@ -19,9 +19,9 @@
         Parameters
         ----------
         files : str
-            TOML files; which kind each is, its content tells.
+            TOML files; the kind of each is detected from its keys.
         json : bool
-            Print a list of results instead.
+            Print the results as JSON instead.
         """
         if not files:
             raise UsageError("check: name at least one file")
@@ -35,11 +35,11 @@
 
 
 def check_file(path):
-    """Return kind and errors of a file as plain values."""
+    """Return the path, kind and errors of a file as a dict."""
     kind = None
     try:
         values = parse_toml(read_text(path), path)
-        kind = kind_of(values, path)
+        kind = detect_kind(values, path)
         validate(kind, values, path)
     except PapayabayError as error:
         errors = str(error).splitlines()
@@ -49,7 +49,7 @@
 
 
 def validate(kind, values, path):
-    """Raise a `PapayabayError` with one line per error."""
+    """Raise a `PapayabayError` with one line per error in the values."""
     if kind is FileKind.POLICY:
         from papayabay_core.policy.document import validate_policy
 
@@ -66,9 +66,9 @@
 
 
 def print_results(results):
-    """Print one line per valid file; errors go to standard error."""
+    """Print one line per valid file, and errors to standard error."""
     for result in results:
         if result["errors"]:
-            note("\n".join(result["errors"]))
+            print_note("\n".join(result["errors"]))
         else:
             print(f"{result['file']}: valid {result['kind']}")
